--- a/src/discovery/change_log.cc
+++ b/src/discovery/change_log.cc
@@ -18,14 +18,14 @@
 
 }  // namespace
 
-void ChangeLog::restart(shared_store::StoreRevision revision) {
+void ChangeLog::reset(shared_store::StoreRevision revision) {
   entries_.clear();
   after_ = revision;
   through_ = std::max(through_, revision);
 }
 
 void ChangeLog::note_configuration(shared_store::StoreRevision revision) {
-  configuration_at_ = std::max(configuration_at_, revision);
+  configuration_revision_ = std::max(configuration_revision_, revision);
   advance(revision);
 }
 
@@ -44,16 +44,17 @@
           .changes = {}};
 }
 
-void ChangeLog::note_told(shared_store::StoreRevision revision) {
-  if (revision > told_) {
-    told_before_ = std::exchange(told_, revision);
+void ChangeLog::note_announced(shared_store::StoreRevision revision) {
+  if (revision > announced_) {
+    previously_announced_ = std::exchange(announced_, revision);
   }
 }
 
 /// One look whose news was lost is made up for by the next: hence from the last but one.
 std::vector<ViewUpdate> ChangeLog::make_updates(MonotonicTime now, Duration age) {
   trim(now);
-  const shared_store::StoreRevision begin = std::max({after_, told_before_, configuration_at_});
+  const shared_store::StoreRevision begin =
+      std::max({after_, previously_announced_, configuration_revision_});
   std::vector<ViewUpdate> updates{make_empty_update(begin, age)};
   for (const Entry& entry : entries_) {
     const shared_store::StoreRevision revision = revision_of(entry.change);
@@ -62,8 +63,9 @@
     }
     ViewUpdate& last = updates.back();
     // What changed in one transaction stands at one revision and stays together.
-    if (last.changes.size() >= kChangesPerUpdate && revision_of(last.changes.back()) != revision) {
-      if (updates.size() == kMostUpdates) {
+    if (last.changes.size() >= kMaxChangesPerUpdate &&
+        revision_of(last.changes.back()) != revision) {
+      if (updates.size() == kMaxUpdates) {
         return {make_empty_update(through_, age)};
       }
       last.through = revision_of(last.changes.back());
@@ -92,7 +94,7 @@
 
 void ChangeLog::trim(MonotonicTime now) {
   while (!entries_.empty() &&
-         (entries_.size() > kMostChanges || now - entries_.front().at > kKeep)) {
+         (entries_.size() > kMaxChanges || now - entries_.front().at > kRetention)) {
     drop_oldest();
   }
 }
--- a/src/discovery/change_log.h
+++ b/src/discovery/change_log.h
@@ -15,7 +15,7 @@
 class ChangeLog {
  public:
   /// Nothing up to `revision` can be told.
-  void restart(shared_store::StoreRevision revision);
+  void reset(shared_store::StoreRevision revision);
   /// The configuration was changed at `revision`. It is too large for an update: who has not seen
   /// that revision has to fetch it.
   void note_configuration(shared_store::StoreRevision revision);
@@ -23,10 +23,10 @@
   /// Everything up to `revision` has been noted.
   void advance(shared_store::StoreRevision revision) { through_ = std::max(through_, revision); }
   /// Another node or this one has told of everything up to `revision`.
-  void note_told(shared_store::StoreRevision revision);
+  void note_announced(shared_store::StoreRevision revision);
   /// All that others may lack, oldest first; never empty: from where the last look but one ended,
   /// or from the oldest change kept if that is newer. The last one ends at the newest revision. If
-  /// that is more than `kMostUpdates` hold, one that nobody can join who has not seen it all.
+  /// that is more than `kMaxUpdates` hold, one that nobody can join who has not seen it all.
   std::vector<ViewUpdate> make_updates(MonotonicTime now, Duration age);
   /// Whether all changes after `revision` are kept.
   bool covers(shared_store::StoreRevision revision) const { return revision >= after_; }
@@ -34,20 +34,20 @@
   /// configuration left out. Only if `revision` is covered.
   std::vector<ViewChange> changes_since(shared_store::StoreRevision revision) const;
   /// Of the configuration's last change; zero if that was before the log.
-  shared_store::StoreRevision configuration_at() const { return configuration_at_; }
+  shared_store::StoreRevision configuration_revision() const { return configuration_revision_; }
 
  private:
   /// Far longer than the others' time between two looks: a node that has not been heard for a while
   /// then fetches what changed (some KB) in place of everything (some 100 KB for 10,000 servers).
-  static constexpr Duration kKeep{std::chrono::seconds(30)};
+  static constexpr Duration kRetention{std::chrono::seconds(30)};
   /// With this many an update fits into a datagram.
-  static constexpr std::size_t kChangesPerUpdate = 24;
+  static constexpr std::size_t kMaxChangesPerUpdate = 24;
   /// Of one look. A relay sends each to all of its zone at once: of longer bursts a link loses the
   /// end, and a view that is fetched over a stream is hardly larger.
-  static constexpr std::size_t kMostUpdates = 4;
+  static constexpr std::size_t kMaxUpdates = 4;
   /// In all, some 4 MB. While a fleet starts each server and node comes as one change: of 20,000
   /// the last three quarters are kept, and who lacks more fetches everything.
-  static constexpr std::size_t kMostChanges = 16'384;
+  static constexpr std::size_t kMaxChanges = 16'384;
 
   struct Entry {
     ViewChange change;
@@ -62,9 +62,9 @@
 
   shared_store::StoreRevision after_;
   shared_store::StoreRevision through_;
-  shared_store::StoreRevision configuration_at_;
-  shared_store::StoreRevision told_;         ///< By the last look that this node knows of.
-  shared_store::StoreRevision told_before_;  ///< By the one before.
+  shared_store::StoreRevision configuration_revision_;
+  shared_store::StoreRevision announced_;             ///< By the last look that this node knows of.
+  shared_store::StoreRevision previously_announced_;  ///< By the one before.
   std::deque<Entry> entries_;
 };
 
--- a/src/discovery/fleet_lister.cc
+++ b/src/discovery/fleet_lister.cc
@@ -11,13 +11,13 @@
 using shared_store::ListPage;
 using shared_store::StoreError;
 
-void FleetLister::start(const std::vector<std::string>& ends, Done done) {
+void FleetLister::start(const std::vector<std::string>& boundaries, Done done) {
   run_ = std::make_shared<Run>();
   run_->done = std::move(done);
-  run_->ranges.resize(ends.size() + 1);
-  for (std::size_t index = 0; index != ends.size(); ++index) {
-    run_->ranges[index].last = ends[index];
-    run_->ranges[index + 1].after = ends[index];
+  run_->ranges.resize(boundaries.size() + 1);
+  for (std::size_t index = 0; index != boundaries.size(); ++index) {
+    run_->ranges[index].last = boundaries[index];
+    run_->ranges[index + 1].after = boundaries[index];
   }
   run_->unfinished = run_->ranges.size();
   const std::shared_ptr<Run> run = run_;
@@ -32,7 +32,7 @@
   run_->revision = first.revision;
   run_->ranges.emplace_back();
   run_->unfinished = 1;
-  take(run_, 0, std::move(first));
+  handle_page(run_, 0, std::move(first));
 }
 
 void FleetLister::read(const std::shared_ptr<Run>& run, std::size_t index) {
@@ -42,18 +42,18 @@
       return;
     }
     if (page) {
-      take(run, index, std::move(page.value()));
+      handle_page(run, index, std::move(page.value()));
     } else {
-      fail_page(run, index, page.error());
+      handle_page_failure(run, index, page.error());
     }
   });
 }
 
-void FleetLister::take(const std::shared_ptr<Run>& run, std::size_t index, ListPage page) {
+void FleetLister::handle_page(const std::shared_ptr<Run>& run, std::size_t index, ListPage page) {
   Range& range = run->ranges[index];
-  range.failed_tries = 0;
+  range.failed_attempts = 0;
   if (run->revision && run->revision->era() != page.revision.era()) {
-    end(run, {shared_store::StoreErrc::kNotDone, "the store was set back between two pages"});
+    fail_run(run, {shared_store::StoreErrc::kNotDone, "the store was set back between two pages"});
     return;
   }
   run->revision = std::min(run->revision.value_or(page.revision), page.revision);
@@ -71,16 +71,16 @@
   read(run, index);
 }
 
-void FleetLister::fail_page(const std::shared_ptr<Run>& run, std::size_t index,
-                            const StoreError& error) {
+void FleetLister::handle_page_failure(const std::shared_ptr<Run>& run, std::size_t index,
+                                      const StoreError& error) {
   Range& range = run->ranges[index];
-  if (++range.failed_tries >= kTriesOfPage) {
-    end(run, error);
+  if (++range.failed_attempts >= kMaxPageAttempts) {
+    fail_run(run, error);
     return;
   }
   range.retry = std::make_unique<Timer>(timers_);
   // The run owns the timer.
-  range.retry->arm(kRetryPause, [this, weak_run = std::weak_ptr<Run>(run), index] {
+  range.retry->arm(kRetryDelay, [this, weak_run = std::weak_ptr<Run>(run), index] {
     const std::shared_ptr<Run> waiting = weak_run.lock();
     if (waiting != nullptr && waiting == run_) {
       read(waiting, index);
@@ -88,7 +88,7 @@
   });
 }
 
-void FleetLister::end(const std::shared_ptr<Run>& run, StoreError error) {
+void FleetLister::fail_run(const std::shared_ptr<Run>& run, StoreError error) {
   run_.reset();
   run->done(outcome::failure(std::move(error)));
 }
--- a/src/discovery/fleet_lister.h
+++ b/src/discovery/fleet_lister.h
@@ -14,8 +14,8 @@
 
 namespace ochrespring::discovery {
 
-/// One after the other, the pages of a large fleet take longer than a view may be old while the
-/// store answers slowly: 55 pages of 200 keys at 200 ms are 11 s, in eight ranges 1.4 s. A page
+/// One after the other, the pages of a large fleet handle_page longer than a view may be old while
+/// the store answers slowly: 55 pages of 200 keys at 200 ms are 11 s, in eight ranges 1.4 s. A page
 /// that fails is asked for again; the pages before it are kept. One listing at a time; one loop.
 class FleetLister {
  public:
@@ -24,9 +24,9 @@
   FleetLister(shared_store::SharedStore& store, TimerService& timers)
       : store_(store), timers_(timers) {}
 
-  /// Lists everything. `ends` are keys, in their order, at which one range ends and the next one
-  /// begins; empty: one range. A listing that runs is dropped.
-  void start(const std::vector<std::string>& ends, Done done);
+  /// Lists everything. `boundaries` are keys, in their order, at which one range boundaries and the
+  /// next one begins; empty: one range. A listing that runs is dropped.
+  void start(const std::vector<std::string>& boundaries, Done done);
   /// Goes on behind a first page that has been read.
   void resume(shared_store::ListPage first, Done done);
   /// Drops the listing that runs, if there is one; nothing is called back any more.
@@ -35,14 +35,14 @@
 
  private:
   /// Tries of one page; the store forgets single calls more often than it is out.
-  static constexpr std::uint32_t kTriesOfPage = 3;
-  static constexpr Duration kRetryPause{std::chrono::milliseconds(100)};
+  static constexpr std::uint32_t kMaxPageAttempts = 3;
+  static constexpr Duration kRetryDelay{std::chrono::milliseconds(100)};
 
   /// The keys behind `after` up to and including `last`.
   struct Range {
     std::string after;
     std::string last;  ///< Empty: no end.
-    std::uint32_t failed_tries = 0;
+    std::uint32_t failed_attempts = 0;
     std::vector<shared_store::Change> items;
     std::unique_ptr<Timer> retry;
   };
@@ -54,11 +54,11 @@
   };
 
   void read(const std::shared_ptr<Run>& run, std::size_t index);
-  void take(const std::shared_ptr<Run>& run, std::size_t index, shared_store::ListPage page);
-  void fail_page(const std::shared_ptr<Run>& run, std::size_t index,
-                 const shared_store::StoreError& error);
+  void handle_page(const std::shared_ptr<Run>& run, std::size_t index, shared_store::ListPage page);
+  void handle_page_failure(const std::shared_ptr<Run>& run, std::size_t index,
+                           const shared_store::StoreError& error);
   void finish_range(const std::shared_ptr<Run>& run);
-  void end(const std::shared_ptr<Run>& run, shared_store::StoreError error);
+  void fail_run(const std::shared_ptr<Run>& run, shared_store::StoreError error);
 
   shared_store::SharedStore& store_;
   TimerService& timers_;
--- a/src/discovery/fleet_watcher.cc
+++ b/src/discovery/fleet_watcher.cc
@@ -12,91 +12,95 @@
 const std::string kEverything;
 
 /// A listing is cut into ranges of about so many back ends, so that a small one stays one range...
-constexpr std::size_t kBackendsOfRange = 1'000;
+constexpr std::size_t kBackendsPerRange = 1'000;
 /// ...and into no more than this: of 20,000 back ends 13 pages of 200 come one after the other
 /// then, and a reader's connections to the store stay few.
-constexpr std::size_t kMostRanges = 8;
+constexpr std::size_t kMaxRanges = 8;
 /// Looks in a row that a follower leaves to the readers before it lists the store itself: by then
 /// two seconds have passed, and the readers have either told or died.
-constexpr std::uint32_t kLooksLeftToReaders = 4;
+constexpr std::uint32_t kPollsLeftToReaders = 4;
 
 }  // namespace
 
-FleetWatcher::FleetWatcher(World world, FleetWatcherSettings settings, gateway::FleetState& fleet,
-                           NodeDirectory& nodes)
-    : world_(world),
+FleetWatcher::FleetWatcher(Dependencies deps, FleetWatcherSettings settings,
+                           gateway::FleetState& fleet, NodeDirectory& nodes)
+    : deps_(deps),
       settings_(settings),
       fleet_(fleet),
       nodes_(nodes),
-      writer_(world.clock, world.codec, world.logger, fleet, nodes),
-      lister_(world.store, world.timers),
-      fetcher_(world.clock, world.timers, world.random, settings,
-               {.fetch = [this](const ViewRequest& request,
-                                TransferCallback done) { fetch_view_(request, std::move(done)); },
-                .seen = [this] { return writer_.seen(); },
-                .take = [this](const ViewTransfer& transfer,
-                               MonotonicTime asked) { return take_transfer(transfer, asked); }}),
-      timer_(world.timers),
-      peer_timer_(world.timers),
-      configuration_timer_(world.timers),
-      waiting_(world.clock, world.timers, settings_.refresh_patience,
-               [this] { look_is_slow_ = looking_; }) {}
+      writer_(deps.clock, deps.codec, deps.logger, fleet, nodes),
+      lister_(deps.store, deps.timers),
+      fetcher_(deps.clock, deps.timers, deps.random, settings,
+               {.fetch =
+                    [this](const ViewRequest& request, TransferCallback done) {
+                      fetch_view_callback_(request, std::move(done));
+                    },
+                .seen_revision = [this] { return writer_.seen_revision(); },
+                .apply =
+                    [this](const ViewTransfer& transfer, MonotonicTime requested_at) {
+                      return apply_transfer(transfer, requested_at);
+                    }}),
+      timer_(deps.timers),
+      peer_timer_(deps.timers),
+      configuration_timer_(deps.timers),
+      refresh_waiters_(deps.clock, deps.timers, settings_.refresh_timeout,
+                       [this] { poll_is_slow_ = polling_; }) {}
 
 void FleetWatcher::start() {
-  look();
-  ask_peer_later();
+  poll();
+  schedule_peer_request();
 }
 
 void FleetWatcher::refresh(std::function<void(bool current)> done) {
-  const MonotonicTime now = world_.clock.now();
-  if (configuration_at_ && now - *configuration_at_ < settings_.fresh_enough) {
+  const MonotonicTime now = deps_.clock.now();
+  if (configuration_current_at_ && now - *configuration_current_at_ < settings_.max_refresh_age) {
     done(true);
     return;
   }
-  const bool failing = !looking_ && failed_in_row_ != 0;
-  if (failing || look_is_slow_) {
+  const bool failing = !polling_ && failed_in_row_ != 0;
+  if (failing || poll_is_slow_) {
     // The next try is due soon, or under way; one for each request that asks would be a storm.
     done(false);
     return;
   }
-  waiting_.add(std::move(done));
-  if (!looking_) {
+  refresh_waiters_.add(std::move(done));
+  if (!polling_) {
     timer_.disarm();
-    look();
+    poll();
   }
 }
 
-void FleetWatcher::look() {
-  looking_ = true;
-  look_began_ = world_.clock.now();
-  ++statistics_.looks;
-  if (!writer_.seen()) {
-    look_without_view();
+void FleetWatcher::poll() {
+  polling_ = true;
+  poll_started_at_ = deps_.clock.now();
+  ++statistics_.polls;
+  if (!writer_.seen_revision()) {
+    poll_without_view();
     return;
   }
-  if (relist_) {
+  if (listing_required_) {
     list_all();
     return;
   }
-  const ReadingDuty duty = this->duty();
-  if (duty.readers.empty() || !fetch_view_) {
-    read_changes();
+  const ReadingAssignment assignment = reading_assignment();
+  if (assignment.readers.empty() || !fetch_view_callback_) {
+    poll_changes();
   } else {
-    ask_reader(duty.readers[world_.random.below(duty.readers.size())]);
+    poll_reader(assignment.readers[deps_.random.below(assignment.readers.size())]);
   }
 }
 
 /// A page holds all that a small fleet has. In a large one it names nodes to ask for the rest.
-void FleetWatcher::look_without_view() {
+void FleetWatcher::poll_without_view() {
   ++statistics_.listings;
-  world_.store.list_page({.prefix = kEverything, .after = {}}, [this](auto page) {
+  deps_.store.list_page({.prefix = kEverything, .after = {}}, [this](auto page) {
     if (!page) {
-      look_ended(LookResult::kStoreLost, look_began_, page.error().message);
+      finish_poll(PollResult::kStoreUnreachable, poll_started_at_, page.error().message);
     } else if (!page.value().more) {
-      take_listing(shared_store::Listing{std::move(page.value().items), page.value().revision});
-    } else if (writer_.seen()) {
+      handle_listing(shared_store::Listing{std::move(page.value().items), page.value().revision});
+    } else if (writer_.seen_revision()) {
       // Another node's view has come meanwhile.
-      read_changes();
+      poll_changes();
     } else {
       find_peers(std::move(page.value()));
     }
@@ -104,311 +108,313 @@
 }
 
 void FleetWatcher::find_peers(shared_store::ListPage first) {
-  writer_.learn_nodes(first.items);
+  writer_.add_nodes(first.items);
   first_page_ = std::move(first);
-  if (!nodes_.others().empty() || settings_.lists_at_once) {
-    hold_listing();
+  if (!nodes_.others().empty() || settings_.lists_immediately) {
+    delay_listing();
     return;
   }
-  const std::string& prefix = world_.codec.layout().node_prefix;
-  world_.store.list_page({.prefix = prefix, .after = {}}, [this](auto page) {
+  const std::string& prefix = deps_.codec.layout().node_prefix;
+  deps_.store.list_page({.prefix = prefix, .after = {}}, [this](auto page) {
     if (!first_page_) {
       // Another node's view has come meanwhile.
       return;
     }
     if (page) {
-      writer_.learn_nodes(page.value().items);
+      writer_.add_nodes(page.value().items);
     }
-    hold_listing();
+    delay_listing();
   });
 }
 
-void FleetWatcher::hold_listing() {
-  const Duration wait = wait_for_peers(settings_, nodes_.count(), world_.random.unit());
-  timer_.arm(wait, [this] { list_rest(); });
-  ask_peer();
+void FleetWatcher::delay_listing() {
+  const Duration wait = listing_delay(settings_, nodes_.count(), deps_.random.unit());
+  timer_.arm(wait, [this] { list_remaining(); });
+  request_peer_view();
 }
 
-void FleetWatcher::list_rest() {
+void FleetWatcher::list_remaining() {
   shared_store::ListPage first = std::move(*first_page_);
   first_page_.reset();
-  lister_.resume(std::move(first), [this](const ListingResult& listing) { take_listing(listing); });
+  lister_.resume(std::move(first),
+                 [this](const ListingResult& listing) { handle_listing(listing); });
 }
 
 void FleetWatcher::list_all() {
   ++statistics_.listings;
   const std::size_t ranges =
-      std::clamp<std::size_t>(fleet_.backends().size() / kBackendsOfRange, 1, kMostRanges);
+      std::clamp<std::size_t>(fleet_.backends().size() / kBackendsPerRange, 1, kMaxRanges);
   lister_.start(writer_.split_points(ranges),
-                [this](const ListingResult& listing) { take_listing(listing); });
+                [this](const ListingResult& listing) { handle_listing(listing); });
 }
 
-void FleetWatcher::take_listing(const ListingResult& listing) {
+void FleetWatcher::handle_listing(const ListingResult& listing) {
   if (!listing) {
-    look_ended(LookResult::kStoreLost, look_began_, listing.error().message);
+    finish_poll(PollResult::kStoreUnreachable, poll_started_at_, listing.error().message);
     return;
   }
-  const bool first = !writer_.seen();
-  if (!writer_.take_listing(listing.value())) {
-    pass_listing(listing.value().revision);
+  const bool first = !writer_.seen_revision();
+  if (!writer_.apply_listing(listing.value())) {
+    skip_listing(listing.value().revision);
     return;
   }
-  relist_ = false;
+  listing_required_ = false;
   note_era();
   if (!first) {
-    share_look();
-  } else if (first_listing_) {
-    first_listing_();
+    broadcast_poll();
+  } else if (first_listing_callback_) {
+    first_listing_callback_();
   }
-  look_ended(LookResult::kCurrent, look_began_, "listed");
+  finish_poll(PollResult::kCurrent, poll_started_at_, "listed");
 }
 
-/// A listing that was not taken says nothing of the view: the look has failed, though the store
+/// A listing that was not taken says nothing of the view: the poll has failed, though the store
 /// answers, and the configuration has no time to wait for the next one.
-void FleetWatcher::pass_listing(shared_store::StoreRevision listed) {
-  ++statistics_.listings_passed;
-  world_.logger.write({logging::Level::kWarning,
-                       kComponent,
-                       "listing older than the view",
-                       {{"era", listed.era().value()},
-                        {"listed", listed.value()},
-                        {"seen_era", writer_.seen()->era().value()},
-                        {"seen", writer_.seen()->value()}}});
+void FleetWatcher::skip_listing(shared_store::StoreRevision listed) {
+  ++statistics_.listings_skipped;
+  deps_.logger.write({logging::Level::kWarning,
+                      kComponent,
+                      "listing older than the view",
+                      {{"era", listed.era().value()},
+                       {"listed", listed.value()},
+                       {"seen_era", writer_.seen_revision()->era().value()},
+                       {"seen", writer_.seen_revision()->value()}}});
   read_configuration();
-  look_ended(LookResult::kBehind, look_began_, "");
+  finish_poll(PollResult::kStale, poll_started_at_, "");
 }
 
 /// What a reader tells is enough unless the reader has not heard of the store for long itself.
-void FleetWatcher::ask_reader(const Endpoint& reader) {
-  fetcher_.ask(reader, [this](const std::optional<ViewTransfer>& transfer) {
-    if (!transfer || !take_transfer(*transfer, look_began_)) {
-      read_changes();
+void FleetWatcher::poll_reader(const Endpoint& reader) {
+  fetcher_.fetch_now(reader, [this](const std::optional<ViewTransfer>& transfer) {
+    if (!transfer || !apply_transfer(*transfer, poll_started_at_)) {
+      poll_changes();
       return;
     }
     const Duration age = age_of(*transfer);
     if (age < settings_.follower_period) {
-      look_ended(LookResult::kCurrent, look_began_ - age, "told by a reader");
+      finish_poll(PollResult::kCurrent, poll_started_at_ - age, "told by a reader");
     } else {
-      read_changes();
+      poll_changes();
     }
   });
 }
 
-void FleetWatcher::read_changes() {
-  ask_for_changes(life_.place_to_ask(writer_.position(), writer_.seen()->era()));
+void FleetWatcher::poll_changes() {
+  request_changes(
+      era_check_.position_to_verify(writer_.position(), writer_.seen_revision()->era()));
 }
 
-void FleetWatcher::ask_for_changes(const std::optional<shared_store::StorePosition>& known) {
-  const shared_store::StoreRevision after = known ? known->before() : *writer_.seen();
-  world_.store.changes(kEverything, after, Duration::zero(), [this, known, after](auto result) {
+void FleetWatcher::request_changes(const std::optional<shared_store::StorePosition>& known) {
+  const shared_store::StoreRevision after = known ? known->before() : *writer_.seen_revision();
+  deps_.store.changes(kEverything, after, Duration::zero(), [this, known, after](auto result) {
     if (result) {
-      take_changes(known, after, result.value());
-    } else if (result.error().code != shared_store::StoreErrc::kHistoryGone) {
-      look_ended(LookResult::kStoreLost, look_began_, result.error().message);
-    } else if (known && !may_be_another_life()) {
+      handle_changes(known, after, result.value());
+    } else if (result.error().code != shared_store::StoreErrc::kHistoryUnavailable) {
+      finish_poll(PollResult::kStoreUnreachable, poll_started_at_, result.error().message);
+    } else if (known && !may_be_another_era()) {
       // Nothing has changed for longer than history is kept, or it was dropped early.
       forget_position();
-      ask_for_changes(std::nullopt);
+      request_changes(std::nullopt);
     } else {
-      recover_history();
+      handle_unavailable_history();
     }
   });
 }
 
 void FleetWatcher::forget_position() {
-  life_.forget_place();
+  era_check_.forget_position();
   writer_.forget_position();
 }
 
-void FleetWatcher::take_changes(const std::optional<shared_store::StorePosition>& known,
-                                shared_store::StoreRevision after,
-                                const shared_store::Changes& changes) {
-  const bool unsure = may_be_another_life();
-  const shared_store::PositionCheck newest = life_.check(known, changes.changes);
-  history_.trim(world_.clock.now(), *writer_.seen());
-  if (newest == shared_store::PositionCheck::kOther ||
+void FleetWatcher::handle_changes(const std::optional<shared_store::StorePosition>& known,
+                                  shared_store::StoreRevision after,
+                                  const shared_store::Changes& changes) {
+  const bool unsure = may_be_another_era();
+  const shared_store::PositionCheck newest = era_check_.check(known, changes.changes);
+  history_.trim(deps_.clock.now(), *writer_.seen_revision());
+  if (newest == shared_store::PositionCheck::kDifferent ||
       history_.contradicts(after, changes.changes)) {
-    begin_life();
+    begin_era();
     return;
   }
   const auto begin = history_.begin();
   if (unsure && newest == shared_store::PositionCheck::kSame && begin && *begin < after) {
-    compare_history(*begin);
+    verify_history(*begin);
     return;
   }
-  take_known_life(after, changes);
+  apply_verified_changes(after, changes);
 }
 
 /// A store that has counted on may hold just the newest change again behind others than before.
-void FleetWatcher::compare_history(shared_store::StoreRevision begin) {
-  world_.store.changes(kEverything, begin, Duration::zero(), [this, begin](auto result) {
+void FleetWatcher::verify_history(shared_store::StoreRevision begin) {
+  deps_.store.changes(kEverything, begin, Duration::zero(), [this, begin](auto result) {
     if (result) {
       if (history_.contradicts(begin, result.value().changes)) {
-        begin_life();
+        begin_era();
       } else {
-        take_known_life(begin, result.value());
+        apply_verified_changes(begin, result.value());
       }
-    } else if (result.error().code == shared_store::StoreErrc::kHistoryGone) {
+    } else if (result.error().code == shared_store::StoreErrc::kHistoryUnavailable) {
       list_all();
     } else {
-      look_ended(LookResult::kStoreLost, look_began_, result.error().message);
+      finish_poll(PollResult::kStoreUnreachable, poll_started_at_, result.error().message);
     }
   });
 }
 
-void FleetWatcher::take_known_life(shared_store::StoreRevision after,
-                                   const shared_store::Changes& changes) {
-  if (relist_ || may_be_another_life()) {
+void FleetWatcher::apply_verified_changes(shared_store::StoreRevision after,
+                                          const shared_store::Changes& changes) {
+  if (listing_required_ || may_be_another_era()) {
     // The view lacks something, or nothing tells whether it does.
     list_all();
     return;
   }
-  note_history(after, changes);
-  writer_.take_changes(changes);
-  share_look();
-  look_ended(LookResult::kCurrent, look_began_, "");
+  record_history(after, changes);
+  writer_.apply_changes(changes);
+  broadcast_poll();
+  finish_poll(PollResult::kCurrent, poll_started_at_, "");
 }
 
 /// An answer without new changes covers nothing that an earlier span does not, and a store that
 /// names its era is known by that.
-void FleetWatcher::note_history(shared_store::StoreRevision after,
-                                const shared_store::Changes& changes) {
-  found_ = shared_store::span_of(after, changes.changes);
-  if (found_ && found_->through > *writer_.seen() && !world_.store.names_era()) {
-    history_.note(*found_, world_.clock.now());
+void FleetWatcher::record_history(shared_store::StoreRevision after,
+                                  const shared_store::Changes& changes) {
+  polled_span_ = shared_store::make_span(after, changes.changes);
+  if (polled_span_ && polled_span_->through > *writer_.seen_revision() &&
+      !deps_.store.names_era()) {
+    history_.note(*polled_span_, deps_.clock.now());
   } else {
-    found_.reset();
+    polled_span_.reset();
   }
 }
 
 /// The store has come back from an older copy and counted past what was known, without saying so.
-void FleetWatcher::begin_life() {
-  const shared_store::StoreRevision seen = *writer_.seen();
-  ++statistics_.lives_found;
-  world_.logger.write({logging::Level::kWarning,
-                       kComponent,
-                       "store holds another change than was known",
-                       {{"era", seen.era().value()}, {"revision", seen.value()}}});
-  world_.store.begin_life_after(seen.era());
+void FleetWatcher::begin_era() {
+  const shared_store::StoreRevision seen = *writer_.seen_revision();
+  ++statistics_.unannounced_eras;
+  deps_.logger.write({logging::Level::kWarning,
+                      kComponent,
+                      "store holds another change than was known",
+                      {{"era", seen.era().value()}, {"revision", seen.value()}}});
+  deps_.store.begin_era_after(seen.era());
   list_all();
 }
 
 /// The store has forgotten what came after the view: only a listing tells what is there now. The
 /// readers of a large fleet list it for all; the configuration has no time to wait for that.
-void FleetWatcher::recover_history() {
-  ++statistics_.histories_gone;
-  world_.logger.write({logging::Level::kWarning,
-                       kComponent,
-                       "store has forgotten its history",
-                       {{"seen", writer_.seen()->value()}}});
-  const bool follows = duty().role == ReadingRole::kFollower;
+void FleetWatcher::handle_unavailable_history() {
+  ++statistics_.histories_unavailable;
+  deps_.logger.write({logging::Level::kWarning,
+                      kComponent,
+                      "store has forgotten its history",
+                      {{"seen", writer_.seen_revision()->value()}}});
+  const bool follows = reading_assignment().role == ReadingRole::kFollower;
   if (follows) {
     read_configuration_later();
-  } else if (fleet_.backends().size() >= kBackendsOfRange) {
+  } else if (fleet_.backends().size() >= kBackendsPerRange) {
     read_configuration();
   }
-  if (follows && failed_in_row_ < kLooksLeftToReaders) {
-    look_ended(LookResult::kBehind, look_began_, "");
+  if (follows && failed_in_row_ < kPollsLeftToReaders) {
+    finish_poll(PollResult::kStale, poll_started_at_, "");
   } else {
     list_all();
   }
 }
 
-/// After a restore many followers look before a reader has told them of it, and need nothing more
+/// After a restore many followers poll before a reader has told them of it, and need nothing more
 /// once it has.
 void FleetWatcher::read_configuration_later() {
   if (!configuration_timer_.armed()) {
-    configuration_timer_.arm(
-        settings_.fetch_spread + world_.random.part_of(settings_.relist_spread),
-        [this] { read_configuration(); });
+    configuration_timer_.arm(settings_.fetch_spread + deps_.random.part_of(settings_.relist_spread),
+                             [this] { read_configuration(); });
   }
 }
 
 void FleetWatcher::read_configuration() {
-  world_.store.get(world_.codec.layout().configuration_key,
-                   [this, asked = world_.clock.now()](auto item) {
-                     if (!item) {
-                       world_.logger.write({logging::Level::kWarning,
-                                            kComponent,
-                                            "configuration not read",
-                                            {{"reason", item.error().message}}});
-                       return;
-                     }
-                     writer_.take_configuration_alone(item.value());
-                     note_configuration_current(asked);
-                   });
-}
-
-/// Many nodes may look at once when they could not take another's news; told by all of them it
+  deps_.store.get(deps_.codec.layout().configuration_key,
+                  [this, requested_at = deps_.clock.now()](auto item) {
+                    if (!item) {
+                      deps_.logger.write({logging::Level::kWarning,
+                                          kComponent,
+                                          "configuration not read",
+                                          {{"reason", item.error().message}}});
+                      return;
+                    }
+                    writer_.apply_configuration_entry(item.value());
+                    note_configuration_current(requested_at);
+                  });
+}
+
+/// Many nodes may poll at once when they could not take another's news; told by all of them it
 /// would fill the links.
-void FleetWatcher::share_look() {
-  const Duration pace =
-      duty().role == ReadingRole::kReader ? settings_.reader_period : settings_.period;
-  const bool heard = heard_at_ && world_.clock.now() - *heard_at_ < pace / 2;
-  if (!share_ || heard) {
+void FleetWatcher::broadcast_poll() {
+  const Duration pace = reading_assignment().role == ReadingRole::kReader ? settings_.reader_period
+                                                                          : settings_.period;
+  const bool heard = update_received_at_ && deps_.clock.now() - *update_received_at_ < pace / 2;
+  if (!broadcast_update_ || heard) {
     return;
   }
-  for (const ViewUpdate& update : writer_.make_updates(world_.clock.now() - look_began_)) {
-    share_(update);
+  for (const ViewUpdate& update : writer_.make_updates(deps_.clock.now() - poll_started_at_)) {
+    broadcast_update_(update);
   }
-  share_position();
+  broadcast_position();
 }
 
 /// Once for each place: one that is lost costs a listing at worst.
-void FleetWatcher::share_position() {
+void FleetWatcher::broadcast_position() {
   const auto known = writer_.position();
-  if (share_position_ && known && known != shared_position_) {
-    shared_position_ = known;
-    share_position_({*known});
+  if (broadcast_position_ && known && known != last_position_) {
+    last_position_ = known;
+    broadcast_position_({*known});
   }
-  if (share_history_ && found_) {
-    share_history_({*std::exchange(found_, std::nullopt)});
+  if (broadcast_history_ && polled_span_) {
+    broadcast_history_({*std::exchange(polled_span_, std::nullopt)});
   }
 }
 
 /// Where two nodes know different changes at one place one of them has seen another life of the
-/// store: a look finds out which.
-void FleetWatcher::take_position(const PositionNews& told) {
-  shared_position_ = told.position;
-  if (writer_.learn_position(told.position)) {
+/// store: a poll finds out which.
+void FleetWatcher::receive_position(const PositionReport& report) {
+  last_position_ = report.position;
+  if (writer_.record_position(report.position)) {
     return;
   }
-  life_.note_conflict(world_.clock.now(), writer_.position());
-  if (!looking_) {
-    timer_.arm(world_.random.part_of(settings_.relist_spread), [this] { look(); });
+  era_check_.note_conflict(deps_.clock.now(), writer_.position());
+  if (!polling_) {
+    timer_.arm(deps_.random.part_of(settings_.relist_spread), [this] { poll(); });
   }
 }
 
-void FleetWatcher::take_update(const ViewUpdate& update, std::function<void()> covered) {
-  const UpdateOutcome outcome = writer_.take_update(update);
+void FleetWatcher::receive_update(const ViewUpdate& update, std::function<void()> on_covered) {
+  const UpdateOutcome outcome = writer_.apply_update(update);
   if (outcome == UpdateOutcome::kOutdated) {
     ++statistics_.updates_outdated;
     return;
   }
-  heard_at_ = world_.clock.now();
-  world_.store.hear_of(update.through);
-  if (covered) {
-    uncovered_ = Uncovered{update.through, std::move(covered)};
+  update_received_at_ = deps_.clock.now();
+  deps_.store.observe_revision(update.through);
+  if (on_covered) {
+    pending_update_ = PendingUpdate{update.through, std::move(on_covered)};
   }
   switch (outcome) {
     case UpdateOutcome::kOutdated:
-    case UpdateOutcome::kPassed:
-      ++statistics_.updates_passed;
-      if (fetch_view_) {
-        fetcher_.want(update.view_address);
+    case UpdateOutcome::kSkipped:
+      ++statistics_.updates_skipped;
+      if (fetch_view_callback_) {
+        fetcher_.request(update.view_address);
       }
       return;
-    case UpdateOutcome::kDiffers:
-      ++statistics_.updates_differed;
-      distrust_view(update.view_address);
+    case UpdateOutcome::kMismatch:
+      ++statistics_.updates_mismatched;
+      invalidate_view(update.view_address);
       return;
-    case UpdateOutcome::kTaken:
+    case UpdateOutcome::kApplied:
       ++statistics_.updates_taken;
       if (update.is_last()) {
-        note_current(world_.clock.now() - update.age);
+        note_current(deps_.clock.now() - update.age);
       } else {
         // More changes are on their way: as of now the view is no newer than before.
-        note_covered();
+        notify_covered();
       }
       return;
   }
@@ -416,173 +422,177 @@
 
 /// A follower takes the other's view for the right one: all of a large fleet may differ at once,
 /// and the readers, who list, find out whose it is.
-void FleetWatcher::distrust_view(const Endpoint& holder) {
-  world_.logger.write({logging::Level::kWarning, kComponent, "view differs from a peer's", {}});
-  writer_.distrust();
-  const bool follows = duty().role == ReadingRole::kFollower;
-  if (follows && fetch_view_) {
-    fetcher_.want_whole(holder);
-  }
-  relist_ = true;
-  if (!looking_) {
-    timer_.arm(follows ? settings_.period / 2 + world_.random.part_of(settings_.period)
-                       : world_.random.part_of(settings_.relist_spread),
-               [this] { look(); });
-  }
-}
-
-void FleetWatcher::look_ended(LookResult result, MonotonicTime as_of, std::string_view detail) {
-  looking_ = false;
-  look_is_slow_ = false;
-  note_store_state(result != LookResult::kStoreLost, detail);
-  const MonotonicTime now = world_.clock.now();
-  const bool success = result == LookResult::kCurrent;
-  if (result == LookResult::kStoreLost && writer_.seen()) {
-    life_.note_failed(now, writer_.position());
+void FleetWatcher::invalidate_view(const Endpoint& holder) {
+  deps_.logger.write({logging::Level::kWarning, kComponent, "view differs from a peer's", {}});
+  writer_.invalidate();
+  const bool follows = reading_assignment().role == ReadingRole::kFollower;
+  if (follows && fetch_view_callback_) {
+    fetcher_.request_snapshot(holder);
+  }
+  listing_required_ = true;
+  if (!polling_) {
+    timer_.arm(follows ? settings_.period / 2 + deps_.random.part_of(settings_.period)
+                       : deps_.random.part_of(settings_.relist_spread),
+               [this] { poll(); });
+  }
+}
+
+void FleetWatcher::finish_poll(PollResult result, MonotonicTime as_of, std::string_view detail) {
+  polling_ = false;
+  poll_is_slow_ = false;
+  note_store_state(result != PollResult::kStoreUnreachable, detail);
+  const MonotonicTime now = deps_.clock.now();
+  const bool success = result == PollResult::kCurrent;
+  if (result == PollResult::kStoreUnreachable && writer_.seen_revision()) {
+    era_check_.note_failed(now, writer_.position());
   }
   if (success) {
     failed_in_row_ = 0;
     note_current(as_of);
   } else {
-    ++statistics_.failed_looks;
+    ++statistics_.failed_polls;
     ++failed_in_row_;
-    timer_.arm(wait_after_failure(settings_, failed_in_row_, nodes_.count(), world_.random.unit()),
-               [this] { look(); });
+    timer_.arm(failed_poll_delay(settings_, failed_in_row_, nodes_.count(), deps_.random.unit()),
+               [this] { poll(); });
   }
-  // A look that began long ago says nothing of now: the node was held up meanwhile, and is quicker
+  // A poll that began long ago says nothing of now: the node was held up meanwhile, and is quicker
   // the second time, or the store is slow.
-  const bool too_old = now - as_of >= settings_.fresh_enough;
-  if (success && too_old && !waiting_.empty() && !std::exchange(looked_again_, true)) {
+  const bool too_old = now - as_of >= settings_.max_refresh_age;
+  if (success && too_old && !refresh_waiters_.empty() && !std::exchange(polled_again_, true)) {
     timer_.disarm();
-    look();
+    poll();
     return;
   }
-  looked_again_ = false;
-  if (result == LookResult::kBehind) {
+  polled_again_ = false;
+  if (result == PollResult::kStale) {
     // The configuration is being read alone, and that answers them.
     return;
   }
-  waiting_.answer(success && !too_old);
+  refresh_waiters_.complete(success && !too_old);
 }
 
 void FleetWatcher::note_store_state(bool reachable, std::string_view detail) {
-  if (std::exchange(connected_, reachable) == reachable) {
+  if (std::exchange(store_reachable_, reachable) == reachable) {
     return;
   }
-  world_.logger.write({logging::Level::kWarning,
-                       kComponent,
-                       reachable ? "store regained" : "store lost",
-                       {{"detail", std::string(detail)}}});
-  if (store_state_) {
-    store_state_(reachable);
+  deps_.logger.write({logging::Level::kWarning,
+                      kComponent,
+                      reachable ? "store regained" : "store lost",
+                      {{"detail", std::string(detail)}}});
+  if (store_state_callback_) {
+    store_state_callback_(reachable);
   }
 }
 
-/// A transfer's age counts from when it was asked for: the answer may have waited.
-bool FleetWatcher::take_transfer(const ViewTransfer& transfer, MonotonicTime asked) {
-  const UpdateOutcome outcome = writer_.take_transfer(transfer);
-  if (outcome == UpdateOutcome::kPassed) {
+/// A transfer's age counts from when it was requested_at for: the answer may have waited.
+bool FleetWatcher::apply_transfer(const ViewTransfer& transfer, MonotonicTime requested_at) {
+  const UpdateOutcome outcome = writer_.apply_transfer(transfer);
+  if (outcome == UpdateOutcome::kSkipped) {
     return false;
   }
-  if (outcome == UpdateOutcome::kDiffers) {
-    ++statistics_.updates_differed;
-    distrust_view({});
+  if (outcome == UpdateOutcome::kMismatch) {
+    ++statistics_.updates_mismatched;
+    invalidate_view({});
     return true;
   }
   note_era();
   const Duration age = age_of(transfer);
   if (const auto* snapshot = std::get_if<ViewSnapshot>(&transfer)) {
     ++statistics_.snapshots_taken;
-    relist_ = false;
-    world_.logger.write({logging::Level::kInfo,
-                         kComponent,
-                         "view taken from a peer",
-                         {{"revision", snapshot->through.value()},
-                          {"age_milliseconds",
-                           std::chrono::duration_cast<std::chrono::milliseconds>(age).count()}}});
+    listing_required_ = false;
+    deps_.logger.write({logging::Level::kInfo,
+                        kComponent,
+                        "view taken from a peer",
+                        {{"revision", snapshot->through.value()},
+                         {"age_milliseconds",
+                          std::chrono::duration_cast<std::chrono::milliseconds>(age).count()}}});
   } else {
     ++statistics_.deltas_taken;
   }
-  if (first_page_ || (lister_.running() && !relist_)) {
+  if (first_page_ || (lister_.running() && !listing_required_)) {
     // What this node was about to list, or is listing, is known to others.
     first_page_.reset();
     lister_.stop();
     timer_.disarm();
-    look_ended(LookResult::kCurrent, asked - age, "told by a peer");
+    finish_poll(PollResult::kCurrent, requested_at - age, "told by a peer");
     return true;
   }
-  note_current(asked - age);
+  note_current(requested_at - age);
   return true;
 }
 
-void FleetWatcher::ask_peer_later() {
-  peer_timer_.arm(settings_.peer_patience, [this] { ask_peer(); });
+void FleetWatcher::schedule_peer_request() {
+  peer_timer_.arm(settings_.peer_request_delay, [this] { request_peer_view(); });
 }
 
-void FleetWatcher::ask_peer() {
-  if (writer_.seen() || !ask_peer_ || std::exchange(asking_peer_, true)) {
+void FleetWatcher::request_peer_view() {
+  if (writer_.seen_revision() || !request_peer_view_callback_ ||
+      std::exchange(requesting_peer_view_, true)) {
     return;
   }
-  ask_peer_([this, asked = world_.clock.now()](const std::optional<ViewTransfer>& transfer) {
-    asking_peer_ = false;
-    if (!transfer || !take_transfer(*transfer, asked)) {
-      ask_peer_later();
-    }
-  });
+  request_peer_view_callback_(
+      [this, requested_at = deps_.clock.now()](const std::optional<ViewTransfer>& transfer) {
+        requesting_peer_view_ = false;
+        if (!transfer || !apply_transfer(*transfer, requested_at)) {
+          schedule_peer_request();
+        }
+      });
 }
 
 void FleetWatcher::note_era() {
-  const shared_store::StoreEra era = writer_.seen()->era();
-  world_.store.hear_of(*writer_.seen());
+  const shared_store::StoreEra era = writer_.seen_revision()->era();
+  deps_.store.observe_revision(*writer_.seen_revision());
   const bool rose = era_ && era > *era_;
   era_ = era;
   if (!rose) {
     return;
   }
   ++statistics_.eras_begun;
-  world_.logger.write({logging::Level::kWarning,
-                       kComponent,
-                       "view is of a new era of the store",
-                       {{"era", era.value()}, {"revision", writer_.seen()->value()}}});
-  if (new_era_) {
-    new_era_();
+  deps_.logger.write({logging::Level::kWarning,
+                      kComponent,
+                      "view is of a new era of the store",
+                      {{"era", era.value()}, {"revision", writer_.seen_revision()->value()}}});
+  if (new_era_callback_) {
+    new_era_callback_();
   }
 }
 
 void FleetWatcher::note_current(MonotonicTime at) {
-  life_.note_current(at);
+  era_check_.note_current(at);
   const auto known = fleet_.current_at();
   if (!known || at > *known) {
     fleet_.note_current(at);
   }
-  const bool listing_due = relist_ && timer_.armed();
-  if (!looking_ && !listing_due) {
-    const Duration waited = wait_for_look(settings_, duty(), nodes_.count(), world_.random.unit());
+  const bool listing_due = listing_required_ && timer_.armed();
+  if (!polling_ && !listing_due) {
+    const Duration waited =
+        poll_delay(settings_, reading_assignment(), nodes_.count(), deps_.random.unit());
     const MonotonicTime due = *fleet_.current_at() + waited;
-    timer_.arm(std::max(due - world_.clock.now(), Duration::zero()), [this] { look(); });
+    timer_.arm(std::max(due - deps_.clock.now(), Duration::zero()), [this] { poll(); });
   }
-  note_covered();
+  notify_covered();
   note_configuration_current(at);
-  if (current_) {
-    current_();
+  if (current_callback_) {
+    current_callback_();
   }
 }
 
 /// A configuration that is known to be the newest answers those who ask for no more.
 void FleetWatcher::note_configuration_current(MonotonicTime at) {
-  if (configuration_at_ && at <= *configuration_at_) {
+  if (configuration_current_at_ && at <= *configuration_current_at_) {
     return;
   }
-  configuration_at_ = at;
+  configuration_current_at_ = at;
   configuration_timer_.disarm();
-  if (!waiting_.empty() && world_.clock.now() - at < settings_.fresh_enough) {
-    waiting_.answer(true);
+  if (!refresh_waiters_.empty() && deps_.clock.now() - at < settings_.max_refresh_age) {
+    refresh_waiters_.complete(true);
   }
 }
 
-void FleetWatcher::note_covered() {
-  if (uncovered_ && writer_.seen() && *writer_.seen() >= uncovered_->through) {
-    std::exchange(uncovered_, std::nullopt)->covered();
+void FleetWatcher::notify_covered() {
+  if (pending_update_ && writer_.seen_revision() &&
+      *writer_.seen_revision() >= pending_update_->through) {
+    std::exchange(pending_update_, std::nullopt)->on_covered();
   }
 }
 
--- a/src/discovery/known_history.cc
+++ b/src/discovery/known_history.cc
@@ -11,7 +11,7 @@
   if (span.after >= span.through || span.after.era() != span.through.era()) {
     return;
   }
-  if (entries_.size() == kMostSpans) {
+  if (entries_.size() == kMaxSpans) {
     entries_.pop_front();
   }
   entries_.push_back({span, now});
@@ -20,8 +20,8 @@
 void KnownHistory::trim(MonotonicTime now, StoreRevision seen) {
   std::erase_if(entries_, [&](const Entry& entry) {
     const StoreRevision after = entry.span.after;
-    return now - entry.noted > kKeep || after.era() != seen.era() ||
-           (after < seen && seen.value() - after.value() > kMostChanges);
+    return now - entry.noted > kRetention || after.era() != seen.era() ||
+           (after < seen && seen.value() - after.value() > kMaxChanges);
   });
 }
 
@@ -38,7 +38,7 @@
   return std::any_of(entries_.begin(), entries_.end(), [&](const Entry& entry) {
     const HistorySpan& span = entry.span;
     return span.after.era() == after.era() && span.after >= after &&
-           shared_store::check_span(span, changes) == shared_store::PositionCheck::kOther;
+           shared_store::check_span(span, changes) == shared_store::PositionCheck::kDifferent;
   });
 }
 
--- a/src/discovery/known_history.h
+++ b/src/discovery/known_history.h
@@ -27,11 +27,11 @@
 
  private:
   /// A store keeps some 20 s of history; a look that asks for more has to list.
-  static constexpr Duration kKeep{std::chrono::seconds(15)};
+  static constexpr Duration kRetention{std::chrono::seconds(15)};
   /// Bounds the answer to a look after an outage, some 1 MB: 10,000 servers write some 8,000
   /// changes a second.
-  static constexpr std::uint64_t kMostChanges = 4'096;
-  static constexpr std::size_t kMostSpans = 64;
+  static constexpr std::uint64_t kMaxChanges = 4'096;
+  static constexpr std::size_t kMaxSpans = 64;
 
   struct Entry {
     shared_store::HistorySpan span;
--- a/src/discovery/listing_comparison.cc
+++ b/src/discovery/listing_comparison.cc
@@ -20,31 +20,32 @@
   }
 }
 
-shared_store::StoreRevision ListingComparison::told_at(shared_store::StoreRevision revision) const {
+shared_store::StoreRevision ListingComparison::reported_revision(
+    shared_store::StoreRevision revision) const {
   return revision > known_ ? std::min(revision, listed_) : listed_;
 }
 
-bool ListingComparison::note_backend(const gateway::Backend& backend,
-                                     shared_store::StoreRevision revision,
-                                     const gateway::FleetState& fleet) {
+bool ListingComparison::add_backend(const gateway::Backend& backend,
+                                    shared_store::StoreRevision revision,
+                                    const gateway::FleetState& fleet) {
   listed_backends_.insert(backend.id);
   const gateway::Backend* known = fleet.find(backend.id);
   const bool same = known != nullptr && *known == backend;
   if (same || newer_backends_.contains(backend.id)) {
     return false;
   }
-  changes_.emplace_back(BackendChange{told_at(revision), backend.id, backend});
+  changes_.emplace_back(BackendChange{reported_revision(revision), backend.id, backend});
   return true;
 }
 
-void ListingComparison::note_node(const NodeId& id, shared_store::StoreRevision revision,
-                                  std::optional<NodeRecord> record, const NodeDirectory& nodes) {
+void ListingComparison::add_node(const NodeId& id, shared_store::StoreRevision revision,
+                                 std::optional<NodeRecord> record, const NodeDirectory& nodes) {
   listed_nodes_.insert(id);
   const auto known = nodes.others().find(id);
   const bool same = !record || id == nodes.self().node || nodes.has_left(id, revision) ||
                     (known != nodes.others().end() && known->second == *record);
   if (!same && !newer_nodes_.contains(id)) {
-    changes_.emplace_back(NodeChange{told_at(revision), id, std::move(record)});
+    changes_.emplace_back(NodeChange{reported_revision(revision), id, std::move(record)});
   }
 }
 
--- a/src/discovery/listing_comparison.h
+++ b/src/discovery/listing_comparison.h
@@ -26,17 +26,17 @@
 
   /// A back end that is listed, last changed at `revision`. Returns whether it differs from the
   /// view.
-  bool note_backend(const gateway::Backend& backend, shared_store::StoreRevision revision,
-                    const gateway::FleetState& fleet);
-  void note_node(const NodeId& id, shared_store::StoreRevision revision,
-                 std::optional<NodeRecord> record, const NodeDirectory& nodes);
+  bool add_backend(const gateway::Backend& backend, shared_store::StoreRevision revision,
+                   const gateway::FleetState& fleet);
+  void add_node(const NodeId& id, shared_store::StoreRevision revision,
+                std::optional<NodeRecord> record, const NodeDirectory& nodes);
   /// All that differs, in the order of revisions: what is in the view and was not listed has gone.
   std::vector<ViewChange> finish(const gateway::FleetState& fleet, const NodeDirectory& nodes);
 
  private:
   /// The revision as of which a difference is told. It lies in what the listing adds to the view:
   /// whoever has seen as much as this node takes it.
-  shared_store::StoreRevision told_at(shared_store::StoreRevision revision) const;
+  shared_store::StoreRevision reported_revision(shared_store::StoreRevision revision) const;
 
   shared_store::StoreRevision listed_;
   shared_store::StoreRevision known_;
--- a/src/discovery/node_directory.cc
+++ b/src/discovery/node_directory.cc
@@ -8,21 +8,21 @@
 
 void NodeDirectory::put(const NodeRecord& record, shared_store::StoreRevision registered) {
   if (record == self_) {
-    own_registered_ = std::max(own_registered_, registered);
+    own_registration_revision_ = std::max(own_registration_revision_, registered);
   }
   if (record.node == self_.node) {
     return;
   }
   if (has_left(record.node, registered)) {
     if (registered == shared_store::StoreRevision()) {
-      passed_over_[record.node] = record;
+      deferred_[record.node] = record;
     }
     return;
   }
-  passed_over_.erase(record.node);
+  deferred_.erase(record.node);
   leaving_nodes_.erase(record.node);
   registered_[record.node] = registered;
-  gone_.erase(record.node);
+  removed_nodes_.erase(record.node);
   NodeRecord& known = others_[record.node];
   if (known != record) {
     known = record;
@@ -30,28 +30,29 @@
   }
 }
 
-void NodeDirectory::admit_passed_over() {
-  for (const auto& [node, record] : std::exchange(passed_over_, {})) {
+void NodeDirectory::readmit_deferred() {
+  for (const auto& [node, record] : std::exchange(deferred_, {})) {
     put(record);
   }
 }
 
 void NodeDirectory::remove(const NodeId& node) {
-  passed_over_.erase(node);
-  std::erase_if(gone_,
-                [this](const auto& entry) { return clock_.now() - entry.second.at >= kMayGoOn; });
+  deferred_.erase(node);
+  std::erase_if(removed_nodes_, [this](const auto& entry) {
+    return clock_.now() - entry.second.removed_at >= kRemovedNodeRetention;
+  });
   registered_.erase(node);
   auto known = others_.extract(node);
   if (!known.empty()) {
-    gone_[node] = {std::move(known.mapped()), clock_.now()};
+    removed_nodes_[node] = {std::move(known.mapped()), clock_.now()};
     ++version_;
   }
 }
 
 void NodeDirectory::note_leaving(const NodeId& node, shared_store::StoreRevision registered) {
   const auto known = registered_.find(node);
-  const bool started_since = known != registered_.end() && known->second > registered;
-  if (started_since || node == self_.node) {
+  const bool restarted = known != registered_.end() && known->second > registered;
+  if (restarted || node == self_.node) {
     return;
   }
   std::erase_if(leaving_nodes_,
@@ -59,7 +60,7 @@
   // Words overtake each other: an older one says less.
   LeavingNode& leaving = leaving_nodes_[node];
   leaving.registered = std::max(leaving.registered, registered);
-  leaving.until = clock_.now() + kLeaves;
+  leaving.until = clock_.now() + kLeavingNodeRetention;
   remove(node);
 }
 
@@ -73,52 +74,53 @@
                             shared_store::StoreRevision as_of) {
   ++version_;
   for (auto& [node, record] : std::exchange(others_, {})) {
-    gone_[node] = {std::move(record), clock_.now()};
+    removed_nodes_[node] = {std::move(record), clock_.now()};
   }
   registered_.clear();
-  passed_over_.clear();
+  deferred_.clear();
   for (const NodeRecord& record : records) {
     put(record, record == self_ ? as_of : shared_store::StoreRevision());
   }
 }
 
-std::uint32_t NodeDirectory::cautious_count() const {
+std::uint32_t NodeDirectory::conservative_count() const {
   const MonotonicTime now = clock_.now();
   std::uint32_t nodes = count();
-  for (const auto& [node, gone] : gone_) {
-    nodes += now - gone.at < kMayGoOn ? 1 : 0;
+  for (const auto& [node, removed] : removed_nodes_) {
+    nodes += now - removed.removed_at < kRemovedNodeRetention ? 1 : 0;
   }
-  return now - started_ < kStart ? std::max(nodes, kAssumedAtStart) : nodes;
+  return now - started_ < kStartupPeriod ? std::max(nodes, kMinCountAtStartup) : nodes;
 }
 
-std::vector<NodeRecord> NodeDirectory::recently_gone() const {
+std::vector<NodeRecord> NodeDirectory::recently_removed() const {
   std::vector<NodeRecord> nodes;
-  for (const auto& [node, gone] : gone_) {
-    if (clock_.now() - gone.at < kMayGoOn) {
-      nodes.push_back(gone.record);
+  for (const auto& [node, removed] : removed_nodes_) {
+    if (clock_.now() - removed.removed_at < kRemovedNodeRetention) {
+      nodes.push_back(removed.record);
     }
   }
   return nodes;
 }
 
-const std::vector<NodeRecord>& NodeDirectory::named(std::size_t most) const {
-  if (named_at_ == version_ && named_most_ == most) {
-    return named_;
+const std::vector<NodeRecord>& NodeDirectory::caller_targets(std::size_t max_count) const {
+  if (caller_targets_version_ == version_ && caller_targets_limit_ == max_count) {
+    return caller_targets_;
   }
-  named_at_ = version_;
-  named_most_ = most;
-  named_ = list();
-  if (named_.size() > most) {
+  caller_targets_version_ = version_;
+  caller_targets_limit_ = max_count;
+  caller_targets_ = list();
+  if (caller_targets_.size() > max_count) {
     const auto weight = [&](const NodeRecord& record) {
       return rendezvous_weight(self_.node.value(), record.node.value());
     };
-    std::nth_element(named_.begin(), named_.begin() + static_cast<std::ptrdiff_t>(most),
-                     named_.end(), [&](const NodeRecord& left, const NodeRecord& right) {
+    std::nth_element(caller_targets_.begin(),
+                     caller_targets_.begin() + static_cast<std::ptrdiff_t>(max_count),
+                     caller_targets_.end(), [&](const NodeRecord& left, const NodeRecord& right) {
                        return weight(left) > weight(right);
                      });
-    named_.resize(most);
+    caller_targets_.resize(max_count);
   }
-  return named_;
+  return caller_targets_;
 }
 
 std::vector<NodeRecord> NodeDirectory::list() const {
--- a/src/discovery/node_registration.cc
+++ b/src/discovery/node_registration.cc
@@ -11,8 +11,8 @@
 
 namespace {
 
-/// Of the pause after calls that failed; `longest_retry` bounds it besides.
-constexpr std::uint32_t kMostDoublings = 8;
+/// Of the delay after calls that failed; `max_retry_delay` bounds it besides.
+constexpr std::uint32_t kMaxRetryDoublings = 8;
 
 }  // namespace
 
@@ -38,7 +38,7 @@
   lease_lost_ = false;
   store_.grant_lease(settings_.time_to_live, [this](auto result) {
     if (!result) {
-      again_after_failure();
+      schedule_retry();
       return;
     }
     lease_ = result.value();
@@ -56,7 +56,7 @@
       if (result.error().code == StoreErrc::kNotFound) {
         lease_.reset();
       }
-      again_after_failure();
+      schedule_retry();
       return;
     }
     failed_in_row_ = 0;
@@ -67,20 +67,20 @@
          "discovery",
          "node registered",
          {{"lease", lease_ ? lease_->value() : 0}, {"revision", result.value().value()}}});
-    again(settings_.period);
+    schedule(settings_.period);
   });
 }
 
 /// Under a new lease: the one before may be lost, and its number given to another node.
-void NodeRegistration::rewrite() {
+void NodeRegistration::reregister() {
   lease_lost_ = true;
   if (left_) {
-    // Nothing to write again, and the lease's number may be another node's now.
+    // Nothing to write schedule, and the lease's number may be another node's now.
     timer_.disarm();
     return;
   }
   if (timer_.armed()) {
-    again(random_.part_of(settings_.period));
+    schedule(random_.part_of(settings_.period));
   }
   // Else a call is under way, and what follows it is this.
 }
@@ -93,25 +93,26 @@
       return;
     }
     if (!result) {
-      again_after_failure();
+      schedule_retry();
       return;
     }
     failed_in_row_ = 0;
-    again(settings_.period);
+    schedule(settings_.period);
   });
 }
 
-void NodeRegistration::again_after_failure() {
-  const Duration pause = settings_.retry * (1U << std::min(failed_in_row_, kMostDoublings));
+void NodeRegistration::schedule_retry() {
+  const Duration delay =
+      settings_.retry_delay * (1U << std::min(failed_in_row_, kMaxRetryDoublings));
   ++failed_in_row_;
-  again(std::min(pause, settings_.longest_retry));
+  schedule(std::min(delay, settings_.max_retry_delay));
 }
 
-void NodeRegistration::again(Duration pause) {
+void NodeRegistration::schedule(Duration delay) {
   if (left_) {
     return;
   }
-  timer_.arm(pause, [this] {
+  timer_.arm(delay, [this] {
     if (!lease_ || lease_lost_) {
       grant();
     } else if (!published_) {
@@ -130,7 +131,7 @@
   }
 }
 
-/// Again and again while the store is out: until the lease lapses, a node that starts is told by
+/// Again and schedule while the store is out: until the lease lapses, a node that starts is told by
 /// the store that this one is there.
 void NodeRegistration::end_lease() {
   if (!lease_) {
@@ -139,7 +140,7 @@
   store_.end_lease(*lease_, [this](auto result) {
     const bool over = result || result.error().code == StoreErrc::kNotFound;
     if (!over && !lease_lost_) {
-      timer_.arm(settings_.retry, [this] { end_lease(); });
+      timer_.arm(settings_.retry_delay, [this] { end_lease(); });
     }
   });
 }
--- a/src/discovery/node_registration.h
+++ b/src/discovery/node_registration.h
@@ -18,12 +18,12 @@
   std::string key;
   Duration time_to_live{std::chrono::milliseconds(3000)};
   Duration period{std::chrono::milliseconds(1000)};
-  Duration retry{std::chrono::milliseconds(400)};
-  /// The pause doubles with each call that fails in a row, up to this: refused calls have their
+  Duration retry_delay{std::chrono::milliseconds(400)};
+  /// The delay doubles with each call that fails in a row, up to this: refused calls have their
   /// price, and while the store is out every node makes them. 80 nodes made 3,893 calls in a day
   /// with two outages of 8 and 9.7 s, 5,385 with 400 ms throughout (counted by the store, one play
   /// each).
-  Duration longest_retry{std::chrono::milliseconds(1600)};
+  Duration max_retry_delay{std::chrono::milliseconds(1600)};
 };
 
 /// A lease with the node's record under it, renewed until leave(). A lapsed lease is replaced.
@@ -34,9 +34,9 @@
                    const NodeRecord& record);
 
   void start();
-  /// The store may have lost the record and its lease: both are made again, at some moment within a
-  /// period, lest a whole fleet writes at once.
-  void rewrite();
+  /// The store may have lost the record and its lease: both are made schedule, at some moment
+  /// within a period, lest a whole fleet writes at once.
+  void reregister();
   /// Ends the lease, so that the others stop naming this node at once.
   void leave();
 
@@ -48,8 +48,8 @@
   void publish();
   void renew();
   void end_lease();
-  void again(Duration pause);
-  void again_after_failure();
+  void schedule(Duration delay);
+  void schedule_retry();
 
   shared_store::SharedStore& store_;
   logging::Logger& logger_;
--- a/src/discovery/refresh_waiters.cc
+++ b/src/discovery/refresh_waiters.cc
@@ -5,28 +5,28 @@
 namespace ochrespring::discovery {
 
 void RefreshWaiters::add(Done done) {
-  waiting_.push_back(std::move(done));
+  callbacks_.push_back(std::move(done));
   if (!timer_.armed()) {
-    limit();
+    arm_timer();
   }
 }
 
-void RefreshWaiters::answer(bool current) {
+void RefreshWaiters::complete(bool current) {
   timer_.disarm();
-  for (const Done& done : std::exchange(waiting_, {})) {
+  for (const Done& done : std::exchange(callbacks_, {})) {
     done(current);
   }
 }
 
-void RefreshWaiters::limit() {
-  const MonotonicTime due = clock_.now() + patience_;
-  timer_.arm(patience_, [this, due] {
-    if (clock_.now() - due > patience_) {
-      // This node was held up itself: the answer may have come, and is read first.
-      limit();
+void RefreshWaiters::arm_timer() {
+  const MonotonicTime deadline = clock_.now() + timeout_;
+  timer_.arm(timeout_, [this, deadline] {
+    if (clock_.now() - deadline > timeout_) {
+      // This node was held up itself: the complete may have come, and is read first.
+      arm_timer();
     } else {
-      on_patience_over_();
-      answer(false);
+      on_timeout_();
+      complete(false);
     }
   });
 }
--- a/src/discovery/refresh_waiters.h
+++ b/src/discovery/refresh_waiters.h
@@ -15,26 +15,23 @@
  public:
   using Done = std::function<void(bool current)>;
 
-  /// `on_patience_over` is called before those who have waited for `patience` are told.
-  RefreshWaiters(const Clock& clock, TimerService& timers, Duration patience,
-                 std::function<void()> on_patience_over)
-      : clock_(clock),
-        patience_(patience),
-        on_patience_over_(std::move(on_patience_over)),
-        timer_(timers) {}
-
-  bool empty() const { return waiting_.empty(); }
+  /// `on_timeout` is called before those who have waited for `timeout` are told.
+  RefreshWaiters(const Clock& clock, TimerService& timers, Duration timeout,
+                 std::function<void()> on_timeout)
+      : clock_(clock), timeout_(timeout), on_timeout_(std::move(on_timeout)), timer_(timers) {}
+
+  bool empty() const { return callbacks_.empty(); }
   void add(Done done);
-  void answer(bool current);
+  void complete(bool current);
 
  private:
-  void limit();
+  void arm_timer();
 
   const Clock& clock_;
-  Duration patience_;
-  std::function<void()> on_patience_over_;
+  Duration timeout_;
+  std::function<void()> on_timeout_;
   Timer timer_;
-  std::vector<Done> waiting_;
+  std::vector<Done> callbacks_;
 };
 
 }  // namespace ochrespring::discovery
--- a/src/discovery/relay_table.cc
+++ b/src/discovery/relay_table.cc
@@ -27,7 +27,7 @@
 
 const std::vector<NodeRecord>& RelayTable::zone_members() const {
   update();
-  return members_;
+  return zone_members_;
 }
 
 void RelayTable::update() const {
@@ -36,16 +36,16 @@
   }
   version_ = nodes_.version();
   std::map<ZoneName, std::vector<NodeRecord>> zones;
-  members_.clear();
+  zone_members_.clear();
   for (const NodeRecord& record : nodes_.list()) {
     zones[record.zone].push_back(record);
     if (record.zone == nodes_.self().zone && record.node != nodes_.self().node) {
-      members_.push_back(record);
+      zone_members_.push_back(record);
     }
   }
-  for (NodeRecord& record : nodes_.recently_gone()) {
+  for (NodeRecord& record : nodes_.recently_removed()) {
     if (record.zone == nodes_.self().zone) {
-      members_.push_back(std::move(record));
+      zone_members_.push_back(std::move(record));
     }
   }
   relays_.clear();
--- a/src/discovery/relay_table.h
+++ b/src/discovery/relay_table.h
@@ -12,7 +12,7 @@
 
 struct RelayOptions {
   /// From this many nodes on news goes by relays; below, each node tells all others itself.
-  std::uint32_t from_nodes = 0;
+  std::uint32_t min_nodes = 0;
 };
 
 /// Two relays a zone, the same on all nodes that know the same nodes: those with the fastest links,
@@ -29,7 +29,7 @@
   RelayTable(const NodeDirectory& nodes, RelayOptions options) : nodes_(nodes), options_(options) {}
 
   /// Whether news goes by relays.
-  bool in_use() const { return nodes_.count() >= options_.from_nodes; }
+  bool in_use() const { return nodes_.count() >= options_.min_nodes; }
   /// The relays of all zones, `kRelaysPerZone` of each in order of rank, fewer of a zone that has
   /// fewer nodes; this node may be one.
   const std::vector<std::vector<NodeRecord>>& relays() const;
@@ -44,7 +44,7 @@
   RelayOptions options_;
   mutable std::uint64_t version_ = 0;  ///< Of the directory, at the last update.
   mutable std::vector<std::vector<NodeRecord>> relays_;
-  mutable std::vector<NodeRecord> members_;
+  mutable std::vector<NodeRecord> zone_members_;
 };
 
 }  // namespace ochrespring::discovery
--- a/src/discovery/tests/fleet_lister_test.cc
+++ b/src/discovery/tests/fleet_lister_test.cc
@@ -13,7 +13,7 @@
 #include <vector>
 
 #include "simulation/virtual_time.h"
-#include "tests/played_store.h"
+#include "tests/stub_store.h"
 
 using namespace ochrespring;
 using namespace ochrespring::discovery;
@@ -26,8 +26,8 @@
 
 namespace {
 
-/// Pages of some keys; every call takes a millisecond, and those that are told to fail do.
-class PagedStore final : public testing::PlayedStore {
+/// Pages of some keys; every call takes a millisecond, and those that are received to fail do.
+class PagedStore final : public testing::StubStore {
  public:
   PagedStore(simulation::VirtualTime& time, std::set<std::string> keys, std::size_t page_items)
       : time_(time), keys_(std::move(keys)), page_items_(page_items) {}
@@ -101,85 +101,85 @@
 TEST_CASE("wherever the ranges end, each key is listed once and in order") {
   CHECK(rc::check([] {
     const int keys = *rc::gen::inRange(0, 120);
-    ListerFixture world(keys, *rc::gen::inRange<std::size_t>(1, 30));
+    ListerFixture fixture(keys, *rc::gen::inRange<std::size_t>(1, 30));
     std::set<std::string> ends;
     const int count = *rc::gen::inRange(0, 9);
     for (int i = 0; i != count; ++i) {
       // Ends need not be keys that there are, nor before the last one.
       ends.insert(key_of(*rc::gen::inRange(0, 140)));
     }
-    world.list({ends.begin(), ends.end()});
-    RC_ASSERT(world.kept.has_value());
-    RC_ASSERT(world.kept->has_value());
+    fixture.list({ends.begin(), ends.end()});
+    RC_ASSERT(fixture.kept.has_value());
+    RC_ASSERT(fixture.kept->has_value());
     std::vector<std::string> listed;
-    for (const Change& item : world.kept->value().items) {
+    for (const Change& item : fixture.kept->value().items) {
       listed.push_back(item.key);
     }
     const std::set<std::string> all = make_keys(keys);
     RC_ASSERT(listed == std::vector<std::string>(all.begin(), all.end()));
-    RC_ASSERT(world.kept->value().revision == StoreRevision(11));
+    RC_ASSERT(fixture.kept->value().revision == StoreRevision(11));
   }));
 }
 
 TEST_CASE("ranges are listed side by side") {
-  ListerFixture world(100);
-  world.list({key_of(24), key_of(49), key_of(74)});
-  CHECK(world.store.most_open == 4);
-  CHECK(world.kept->value().items.size() == 100);
+  ListerFixture fixture(100);
+  fixture.list({key_of(24), key_of(49), key_of(74)});
+  CHECK(fixture.store.most_open == 4);
+  CHECK(fixture.kept->value().items.size() == 100);
 }
 
 TEST_CASE("a page that fails is asked for again, and those before it are kept") {
-  ListerFixture world(100);
-  world.store.failures_left = 2;
-  world.list({});
-  CHECK(world.kept->value().items.size() == 100);
-  CHECK(world.store.calls == 12);
+  ListerFixture fixture(100);
+  fixture.store.failures_left = 2;
+  fixture.list({});
+  CHECK(fixture.kept->value().items.size() == 100);
+  CHECK(fixture.store.calls == 12);
 }
 
 TEST_CASE("a store that goes on failing fails the listing, with its own error, once") {
-  ListerFixture world(100);
-  world.store.failures_left = 1000;
-  world.list({key_of(49)});
-  REQUIRE(world.kept.has_value());
-  CHECK(world.kept->error().code == StoreErrc::kRateLimited);
-  CHECK_FALSE(world.lister.running());
-  CHECK(world.store.calls <= 6);
+  ListerFixture fixture(100);
+  fixture.store.failures_left = 1000;
+  fixture.list({key_of(49)});
+  REQUIRE(fixture.kept.has_value());
+  CHECK(fixture.kept->error().code == StoreErrc::kRateLimited);
+  CHECK_FALSE(fixture.lister.running());
+  CHECK(fixture.store.calls <= 6);
 }
 
 TEST_CASE("a listing goes on behind a page that has been read") {
-  ListerFixture world(30);
+  ListerFixture fixture(30);
   ListPage first{{{key_of(0), "value", StoreRevision(1)}, {key_of(1), "value", StoreRevision(1)}},
                  true,
                  StoreRevision(5)};
-  world.lister.resume(first, [&](auto result) { world.kept.emplace(std::move(result)); });
-  world.time.run_until(world.time.now() + 1s);
-  CHECK(world.kept->value().items.size() == 30);
-  CHECK(world.kept->value().revision == StoreRevision(5));
+  fixture.lister.resume(first, [&](auto result) { fixture.kept.emplace(std::move(result)); });
+  fixture.time.run_until(fixture.time.now() + 1s);
+  CHECK(fixture.kept->value().items.size() == 30);
+  CHECK(fixture.kept->value().revision == StoreRevision(5));
 }
 
 TEST_CASE("a listing that is dropped calls nobody back") {
-  ListerFixture world(100);
+  ListerFixture fixture(100);
   bool called = false;
-  world.lister.start({}, [&](const auto&) { called = true; });
-  world.time.run_until(world.time.now() + 2ms);
-  world.lister.stop();
-  world.time.run_until(world.time.now() + 1s);
+  fixture.lister.start({}, [&](const auto&) { called = true; });
+  fixture.time.run_until(fixture.time.now() + 2ms);
+  fixture.lister.stop();
+  fixture.time.run_until(fixture.time.now() + 1s);
   CHECK_FALSE(called);
-  world.list({});
-  CHECK(world.kept->value().items.size() == 100);
+  fixture.list({});
+  CHECK(fixture.kept->value().items.size() == 100);
 }
 
 // The retry's callback owned the listing that owned the timer: nodes that were killed while a page
 // waited for its retry freed both twice.
 TEST_CASE("a listing that is dropped while a page waits for its retry is gone at once") {
-  ListerFixture world(5);
-  world.store.failures_left = 1;
+  ListerFixture fixture(5);
+  fixture.store.failures_left = 1;
   const auto token = std::make_shared<int>(0);
-  world.lister.start({}, [token](auto /*result*/) {});
-  world.time.run_until(world.time.now() + 50ms);
+  fixture.lister.start({}, [token](auto /*result*/) {});
+  fixture.time.run_until(fixture.time.now() + 50ms);
   CHECK(token.use_count() == 2);
-  world.lister.stop();
+  fixture.lister.stop();
   CHECK(token.use_count() == 1);
-  world.time.run_until(world.time.now() + 1s);
-  CHECK(world.store.calls == 1);
+  fixture.time.run_until(fixture.time.now() + 1s);
+  CHECK(fixture.store.calls == 1);
 }
--- a/src/discovery/tests/known_history_test.cc
+++ b/src/discovery/tests/known_history_test.cc
@@ -28,7 +28,7 @@
   for (std::uint64_t i = after + 1; i <= through; ++i) {
     changes.push_back(change_at(i, "v"));
   }
-  return *shared_store::span_of(StoreRevision(after), changes);
+  return *shared_store::make_span(StoreRevision(after), changes);
 }
 
 }  // namespace
--- a/src/discovery/tests/listing_comparison_test.cc
+++ b/src/discovery/tests/listing_comparison_test.cc
@@ -26,9 +26,9 @@
 
 struct WriterFixture {
   WriterFixture() {
-    writer.take_listing({{item("config", "3", 4), item("backends/a", "ready", 5),
-                          item("backends/b", "ready", 6), item("backends/c", "ready", 7)},
-                         StoreRevision(10)});
+    writer.apply_listing({{item("config", "3", 4), item("backends/a", "ready", 5),
+                           item("backends/b", "ready", 6), item("backends/c", "ready", 7)},
+                          StoreRevision(10)});
   }
   static Change item(std::string key, std::string value, std::uint64_t revision) {
     return {std::move(key), std::move(value), StoreRevision(revision)};
@@ -63,96 +63,99 @@
 
 }  // namespace
 
-TEST_CASE("what a listing shows to have changed is told to those who have seen as much") {
+TEST_CASE("what a listing shows to have changed is received to those who have seen as much") {
   WriterFixture lister;
-  WriterFixture hearer;
+  WriterFixture receiver;
   // The history is gone: a drains since 20, b has gone, d has come.
   const Listing listing{
       {WriterFixture::item("config", "3", 4), WriterFixture::item("backends/a", "draining", 20),
        WriterFixture::item("backends/c", "ready", 39),
        WriterFixture::item("backends/d", "ready", 30)},
       StoreRevision(40)};
-  CHECK(lister.writer.take_listing(listing));
+  CHECK(lister.writer.apply_listing(listing));
   CHECK(lister.draining("a"));
   CHECK_FALSE(lister.knows("b"));
   const std::vector<ViewUpdate> updates = lister.writer.make_updates(5ms);
   REQUIRE(updates.size() == 1);
   CHECK(updates[0].after <= StoreRevision(10));
   CHECK(updates[0].changes.size() == 3);
-  CHECK(hearer.writer.take_update(updates[0]) == UpdateOutcome::kTaken);
-  CHECK(hearer.writer.seen() == StoreRevision(40));
-  CHECK(hearer.draining("a"));
-  CHECK_FALSE(hearer.knows("b"));
-  CHECK(hearer.knows("d"));
+  CHECK(receiver.writer.apply_update(updates[0]) == UpdateOutcome::kApplied);
+  CHECK(receiver.writer.seen_revision() == StoreRevision(40));
+  CHECK(receiver.draining("a"));
+  CHECK_FALSE(receiver.knows("b"));
+  CHECK(receiver.knows("d"));
 }
 
-TEST_CASE("a configuration in a listing is not told, and who has not seen it has to fetch") {
+TEST_CASE("a configuration in a listing is not received, and who has not seen it has to fetch") {
   WriterFixture lister;
-  WriterFixture hearer;
-  CHECK(lister.writer.take_listing(
+  WriterFixture receiver;
+  CHECK(lister.writer.apply_listing(
       {{WriterFixture::item("config", "8", 33), WriterFixture::item("backends/a", "ready", 5),
         WriterFixture::item("backends/b", "ready", 6),
         WriterFixture::item("backends/c", "ready", 7)},
        StoreRevision(40)}));
-  CHECK(hearer.writer.take_update(lister.writer.make_updates(5ms).at(0)) == UpdateOutcome::kPassed);
-  const auto transfer = lister.writer.make_transfer(hearer.writer.seen());
+  CHECK(receiver.writer.apply_update(lister.writer.make_updates(5ms).at(0)) ==
+        UpdateOutcome::kSkipped);
+  const auto transfer = lister.writer.make_transfer(receiver.writer.seen_revision());
   // Without the time as of which it is current a view is not handed on.
   CHECK_FALSE(transfer);
   lister.fleet.note_current(lister.time.now());
-  const auto current = lister.writer.make_transfer(hearer.writer.seen());
+  const auto current = lister.writer.make_transfer(receiver.writer.seen_revision());
   REQUIRE(current);
   CHECK(std::holds_alternative<ViewDelta>(*current));
-  CHECK(hearer.writer.take_transfer(*current) == UpdateOutcome::kTaken);
-  CHECK(hearer.fleet.routes()->configuration().version.value() == 8);
-  CHECK(hearer.writer.seen() == StoreRevision(40));
+  CHECK(receiver.writer.apply_transfer(*current) == UpdateOutcome::kApplied);
+  CHECK(receiver.fleet.routes()->configuration().version.value() == 8);
+  CHECK(receiver.writer.seen_revision() == StoreRevision(40));
 }
 
 TEST_CASE("a listing that began before other nodes' news does not undo them") {
-  WriterFixture world;
-  CHECK(world.writer.take_update(world.update(10, 20, {make_draining("a", 15)})) ==
-        UpdateOutcome::kTaken);
-  CHECK(world.writer.take_update(world.update(
+  WriterFixture fixture;
+  CHECK(fixture.writer.apply_update(fixture.update(10, 20, {make_draining("a", 15)})) ==
+        UpdateOutcome::kApplied);
+  CHECK(fixture.writer.apply_update(fixture.update(
             20, 25, {BackendChange{StoreRevision(22), gateway::BackendId("c"), std::nullopt}})) ==
-        UpdateOutcome::kTaken);
-  // Listed as of 12: a still ready, c still there; b has gone, which nobody told.
-  CHECK(world.writer.take_listing({{WriterFixture::item("backends/a", "ready", 5),
-                                    WriterFixture::item("backends/c", "ready", 7)},
-                                   StoreRevision(12)}));
-  CHECK(world.draining("a"));
-  CHECK_FALSE(world.knows("c"));
-  CHECK_FALSE(world.knows("b"));
-  CHECK(world.writer.seen() == StoreRevision(25));
+        UpdateOutcome::kApplied);
+  // Listed as of 12: a still ready, c still there; b has gone, which nobody received.
+  CHECK(fixture.writer.apply_listing({{WriterFixture::item("backends/a", "ready", 5),
+                                       WriterFixture::item("backends/c", "ready", 7)},
+                                      StoreRevision(12)}));
+  CHECK(fixture.draining("a"));
+  CHECK_FALSE(fixture.knows("c"));
+  CHECK_FALSE(fixture.knows("b"));
+  CHECK(fixture.writer.seen_revision() == StoreRevision(25));
 }
 
 TEST_CASE("a listing from before all that is remembered is of no use") {
-  WriterFixture world;
-  CHECK_FALSE(world.writer.take_listing({{}, StoreRevision(8)}));
-  CHECK(world.knows("a"));
+  WriterFixture fixture;
+  CHECK_FALSE(fixture.writer.apply_listing({{}, StoreRevision(8)}));
+  CHECK(fixture.knows("a"));
 }
 
-TEST_CASE("a later page that is newer than the listing is told on when its change comes again") {
+TEST_CASE(
+    "a later page that is newer than the listing is received on when its change comes again") {
   WriterFixture lister;
   // Both pages are of one listing as of 40; by the second one b had begun to drain.
-  CHECK(lister.writer.take_listing(
+  CHECK(lister.writer.apply_listing(
       {{WriterFixture::item("config", "3", 4), WriterFixture::item("backends/a", "ready", 5),
         WriterFixture::item("backends/b", "draining", 45),
         WriterFixture::item("backends/c", "ready", 7)},
        StoreRevision(40)}));
-  CHECK(lister.writer.seen() == StoreRevision(40));
+  CHECK(lister.writer.seen_revision() == StoreRevision(40));
   (void)lister.writer.make_updates(5ms);
-  WriterFixture hearer;
-  // Another node told this one of everything up to 42.
-  CHECK(hearer.writer.take_update(hearer.update(10, 42, {})) == UpdateOutcome::kTaken);
-  lister.writer.take_changes({{WriterFixture::item("backends/b", "draining", 45)}});
-  CHECK(hearer.writer.take_update(lister.writer.make_updates(5ms).back()) == UpdateOutcome::kTaken);
-  CHECK(hearer.draining("b"));
+  WriterFixture receiver;
+  // Another node received this one of everything up to 42.
+  CHECK(receiver.writer.apply_update(receiver.update(10, 42, {})) == UpdateOutcome::kApplied);
+  lister.writer.apply_changes({{WriterFixture::item("backends/b", "draining", 45)}});
+  CHECK(receiver.writer.apply_update(lister.writer.make_updates(5ms).back()) ==
+        UpdateOutcome::kApplied);
+  CHECK(receiver.draining("b"));
 }
 
 TEST_CASE(
     "whatever changed while nobody could tell, a listing brings the lister and its hearers up") {
   CHECK(rc::check([](const std::vector<std::pair<std::uint8_t, std::uint8_t>>& steps) {
     WriterFixture lister;
-    WriterFixture hearer;
+    WriterFixture receiver;
     std::map<std::string, std::pair<std::string, std::uint64_t>> store{
         {"config", {"3", 4}},
         {"backends/a", {"ready", 5}},
@@ -173,11 +176,11 @@
     for (const auto& [key, entry] : store) {
       listing.items.push_back(WriterFixture::item(key, entry.first, entry.second));
     }
-    RC_ASSERT(lister.writer.take_listing(listing));
+    RC_ASSERT(lister.writer.apply_listing(listing));
     for (const ViewUpdate& update : lister.writer.make_updates(0ms)) {
-      RC_ASSERT(hearer.writer.take_update(update) == UpdateOutcome::kTaken);
+      RC_ASSERT(receiver.writer.apply_update(update) == UpdateOutcome::kApplied);
     }
-    RC_ASSERT(lister.fleet.backends() == hearer.fleet.backends());
+    RC_ASSERT(lister.fleet.backends() == receiver.fleet.backends());
     RC_ASSERT(lister.fleet.backends().size() == store.size() - 1);
   }));
 }
--- a/src/discovery/tests/node_directory_test.cc
+++ b/src/discovery/tests/node_directory_test.cc
@@ -17,7 +17,7 @@
 
 namespace {
 
-constexpr std::size_t kMost = 64;
+constexpr std::size_t kMaxTargets = 64;
 
 NodeRecord make_record(int number) {
   return {.node = NodeId("front-" + std::to_string(number)),
@@ -38,7 +38,7 @@
 
 std::set<NodeId> names_of(const NodeDirectory& directory) {
   std::set<NodeId> names;
-  for (const NodeRecord& record : directory.named(kMost)) {
+  for (const NodeRecord& record : directory.caller_targets(kMaxTargets)) {
     names.insert(record.node);
   }
   return names;
@@ -54,7 +54,7 @@
   std::map<NodeId, int> named;
   for (int self = 0; self != kNodes; ++self) {
     const std::set<NodeId> names = names_of(make_directory(time, self, kNodes));
-    CHECK(names.size() == kMost);
+    CHECK(names.size() == kMaxTargets);
     for (const NodeId& name : names) {
       ++named[name];
     }
@@ -77,7 +77,7 @@
     std::vector<NodeId> kept;
     std::set_intersection(before.begin(), before.end(), after.begin(), after.end(),
                           std::back_inserter(kept));
-    CHECK(kept.size() == kMost - (before.contains(gone) ? 1 : 0));
+    CHECK(kept.size() == kMaxTargets - (before.contains(gone) ? 1 : 0));
     before = after;
   }
 }
@@ -99,7 +99,7 @@
   directory.replace({make_record(0), make_record(1)}, shared_store::StoreRevision(94));
   CHECK(directory.count() == 1);
   time.run_until(time.now() + std::chrono::seconds(16));
-  directory.admit_passed_over();
+  directory.readmit_deferred();
   CHECK(directory.count() == 2);
 }
 
@@ -109,10 +109,10 @@
   directory.put(make_record(1), shared_store::StoreRevision(74));
   directory.note_leaving(NodeId("front-1"), shared_store::StoreRevision(74));
   directory.replace({make_record(0), make_record(1)}, shared_store::StoreRevision(94));
-  directory.admit_passed_over();
+  directory.readmit_deferred();
   CHECK(directory.count() == 1);
   directory.remove(NodeId("front-1"));
   time.run_until(time.now() + std::chrono::seconds(16));
-  directory.admit_passed_over();
+  directory.readmit_deferred();
   CHECK(directory.count() == 1);
 }
--- a/src/discovery/tests/relay_table_test.cc
+++ b/src/discovery/tests/relay_table_test.cc
@@ -32,9 +32,9 @@
 }
 
 /// What one of the nodes believes when it knows all of `fleet`.
-struct KnowingNode {
-  KnowingNode(const Clock& clock, const NodeRecord& self, const std::vector<NodeRecord>& fleet,
-              RelayOptions options = {})
+struct FixedViewNode {
+  FixedViewNode(const Clock& clock, const NodeRecord& self, const std::vector<NodeRecord>& fleet,
+                RelayOptions options = {})
       : nodes(clock, self), table(nodes, options) {
     nodes.replace(fleet);
   }
@@ -60,7 +60,7 @@
   const auto fleet = make_fleet(10);
   std::vector<std::vector<std::vector<NodeRecord>>> tables;
   for (const NodeRecord& self : fleet) {
-    const KnowingNode node(time, self, fleet);
+    const FixedViewNode node(time, self, fleet);
     CHECK(node.table.zone_members().size() == 9);
     tables.push_back(node.table.relays());
   }
@@ -77,7 +77,7 @@
   auto fleet = make_fleet(10);
   fleet.push_back(make_node(90, "b", 200));
   fleet.push_back(make_node(91, "b", 200));
-  const KnowingNode node(time, fleet.front(), fleet);
+  const FixedViewNode node(time, fleet.front(), fleet);
   const auto names = names_of(node.table.relays());
   CHECK(names.contains("b-90"));
   CHECK(names.contains("b-91"));
@@ -86,7 +86,7 @@
 TEST_CASE("a node that goes changes the relays only if it was one") {
   simulation::VirtualTime time;
   const auto fleet = make_fleet(10);
-  KnowingNode node(time, fleet.front(), fleet);
+  FixedViewNode node(time, fleet.front(), fleet);
   const auto before = names_of(node.table.relays());
   for (const NodeRecord& gone : fleet) {
     if (gone.node == fleet.front().node) {
@@ -107,10 +107,10 @@
   simulation::VirtualTime time;
   auto fleet = make_fleet(2);
   fleet.push_back(make_node(0, "d"));
-  const KnowingNode node(time, fleet.back(), fleet, {.from_nodes = 8});
+  const FixedViewNode node(time, fleet.back(), fleet, {.min_nodes = 8});
   CHECK(node.table.relays().back().size() == 1);
   CHECK(node.table.zone_members().empty());
   CHECK_FALSE(node.table.in_use());
   fleet.push_back(make_node(1, "d"));
-  CHECK(KnowingNode(time, fleet.front(), fleet, {.from_nodes = 8}).table.in_use());
+  CHECK(FixedViewNode(time, fleet.front(), fleet, {.min_nodes = 8}).table.in_use());
 }
--- a/src/discovery/tests/reborn_backend_test.cc
+++ b/src/discovery/tests/restarted_backend_test.cc
@@ -28,9 +28,9 @@
   }
 
   void list(std::uint64_t revision, const std::vector<Change>& items, StoreEra era = {}) {
-    writer.take_listing(Listing{items, StoreRevision(revision, era)});
+    writer.apply_listing(Listing{items, StoreRevision(revision, era)});
   }
-  void change(const Change& change) { writer.take_changes(Changes{{change}}); }
+  void change(const Change& change) { writer.apply_changes(Changes{{change}}); }
   std::vector<std::string> known() const {
     std::vector<std::string> ids;
     for (const auto& [id, backend] : fleet.backends()) {
@@ -76,17 +76,17 @@
   CHECK(node.removed == std::vector{BackendId("a@500")});
 }
 
-TEST_CASE("nodes that are told by others know the new life alone, too") {
-  Node looker;
-  Node told;
-  looker.list(3, {entry("a", "ready@500", 1)});
-  told.list(3, {entry("a", "ready@500", 1)});
-  looker.change(entry("a", "ready@600", 4));
-  looker.fleet.note_current(looker.time.now());
-  for (const ViewUpdate& update : looker.writer.make_updates({})) {
-    CHECK(told.writer.take_update(update) == UpdateOutcome::kTaken);
+TEST_CASE("nodes that are received by others know the new life alone, too") {
+  Node poller;
+  Node received;
+  poller.list(3, {entry("a", "ready@500", 1)});
+  received.list(3, {entry("a", "ready@500", 1)});
+  poller.change(entry("a", "ready@600", 4));
+  poller.fleet.note_current(poller.time.now());
+  for (const ViewUpdate& update : poller.writer.make_updates({})) {
+    CHECK(received.writer.apply_update(update) == UpdateOutcome::kApplied);
   }
-  CHECK(told.known() == Ids{"a@600"});
+  CHECK(received.known() == Ids{"a@600"});
 }
 
 TEST_CASE(
--- a/src/discovery/tests/shared_looks_test.cc
+++ b/src/discovery/tests/shared_polls_test.cc
@@ -15,14 +15,14 @@
 #include "discovery/view_writer.h"
 #include "simulation/virtual_time.h"
 #include "tests/plain_codec.h"
-#include "tests/played_store.h"
+#include "tests/stub_store.h"
 #include "wire/codec.h"
 
 using namespace ochrespring;
 using namespace ochrespring::discovery;
 using namespace std::chrono_literals;
 using ochrespring::discovery::testing::PlainCodec;
-using ochrespring::discovery::testing::PlayedStore;
+using ochrespring::discovery::testing::StubStore;
 using ochrespring::discovery::testing::take;
 using shared_store::Change;
 using shared_store::Changes;
@@ -35,9 +35,9 @@
 using View = std::map<std::string, bool>;  ///< Back end to whether it is draining.
 
 /// A store that remembers how it was at each revision, and may be set back to one.
-class RememberingStore {
+class VersionedStore {
  public:
-  RememberingStore() { past_[now_] = {}; }
+  VersionedStore() { past_[now_] = {}; }
 
   void write(const std::string& backend, std::optional<bool> draining) {
     now_ = now_.next();
@@ -50,7 +50,7 @@
     past_[now_] = state_;
   }
   /// Comes back as it was so many changes ago, in another life.
-  void set_back(std::uint64_t changes) {
+  void restore(std::uint64_t changes) {
     const std::uint64_t number = now_.value() - std::min(changes, now_.value());
     state_ = past_.at(StoreRevision(number, now_.era()));
     const shared_store::StoreEra era = now_.era().next();
@@ -137,11 +137,11 @@
     simulation::VirtualTime time;
     const PlainCodec codec;
     logging::NullLogger logger;
-    RememberingStore store;
+    VersionedStore store;
     std::vector<std::unique_ptr<ViewingNode>> nodes;
     for (int i = 0; i != 3; ++i) {
       nodes.push_back(std::make_unique<ViewingNode>(time, codec, logger));
-      nodes.back()->writer.take_listing(store.list());
+      nodes.back()->writer.apply_listing(store.list());
     }
     for (const auto& [what, choice] : steps) {
       time.run_until(time.now() + 400ms);
@@ -157,19 +157,19 @@
           store.write(backend, std::nullopt);
           break;
         default:
-          ViewingNode& looker = *nodes[choice % 3];
-          looker.writer.take_changes(*store.changes_after(*looker.writer.seen()));
-          for (const ViewUpdate& update : looker.writer.make_updates(0ms)) {
+          ViewingNode& poller = *nodes[choice % 3];
+          poller.writer.apply_changes(*store.changes_after(*poller.writer.seen_revision()));
+          for (const ViewUpdate& update : poller.writer.make_updates(0ms)) {
             for (std::size_t other = 0; other != nodes.size(); ++other) {
               const bool lost = ((choice >> 2U) & (1U << other)) != 0;
-              if (!lost && nodes[other]->writer.take_update(update) == UpdateOutcome::kDiffers) {
-                nodes[other]->writer.take_listing(store.list());
+              if (!lost && nodes[other]->writer.apply_update(update) == UpdateOutcome::kMismatch) {
+                nodes[other]->writer.apply_listing(store.list());
               }
             }
           }
       }
       for (const auto& node : nodes) {
-        RC_ASSERT(node->view() == store.at(*node->writer.seen()));
+        RC_ASSERT(node->view() == store.at(*node->writer.seen_revision()));
       }
     }
   }));
@@ -180,17 +180,17 @@
     simulation::VirtualTime time;
     const PlainCodec codec;
     logging::NullLogger logger;
-    RememberingStore store;
+    VersionedStore store;
     std::vector<std::unique_ptr<ViewingNode>> nodes;
     for (int i = 0; i != 3; ++i) {
       nodes.push_back(std::make_unique<ViewingNode>(time, codec, logger));
-      nodes.back()->writer.take_listing(store.list());
+      nodes.back()->writer.apply_listing(store.list());
     }
     std::vector<ViewUpdate> late;  ///< Come again, in whatever life of the store.
     for (const auto& [what, choice] : steps) {
       time.run_until(time.now() + 400ms);
       const std::string backend(1, static_cast<char>('a' + choice % 3));
-      ViewingNode& looker = *nodes[choice % 3];
+      ViewingNode& poller = *nodes[choice % 3];
       switch (what % 8) {
         case 0:
           store.write(backend, false);
@@ -202,35 +202,35 @@
           store.write(backend, std::nullopt);
           break;
         case 3:
-          store.set_back(choice % 5);
+          store.restore(choice % 5);
           break;
         case 4:
           for (const ViewUpdate& update : late) {
-            if (looker.writer.take_update(update) == UpdateOutcome::kDiffers) {
-              looker.writer.take_listing(store.list());
+            if (poller.writer.apply_update(update) == UpdateOutcome::kMismatch) {
+              poller.writer.apply_listing(store.list());
             }
           }
           break;
         default:
-          const auto changes = store.changes_after(*looker.writer.seen());
+          const auto changes = store.changes_after(*poller.writer.seen_revision());
           if (changes) {
-            looker.writer.take_changes(*changes);
+            poller.writer.apply_changes(*changes);
           } else {
-            RC_ASSERT(looker.writer.take_listing(store.list()));
+            RC_ASSERT(poller.writer.apply_listing(store.list()));
           }
-          late = looker.writer.make_updates(0ms);
+          late = poller.writer.make_updates(0ms);
           for (const ViewUpdate& update : late) {
             for (std::size_t other = 0; other != nodes.size(); ++other) {
               const bool lost = ((choice >> 2U) & (1U << other)) != 0;
-              if (!lost && nodes[other]->writer.take_update(update) == UpdateOutcome::kDiffers) {
-                nodes[other]->writer.take_listing(store.list());
+              if (!lost && nodes[other]->writer.apply_update(update) == UpdateOutcome::kMismatch) {
+                nodes[other]->writer.apply_listing(store.list());
               }
             }
           }
-          RC_ASSERT(looker.view() == store.list_view());
+          RC_ASSERT(poller.view() == store.list_view());
       }
       for (const auto& node : nodes) {
-        RC_ASSERT(node->view() == store.at(*node->writer.seen()));
+        RC_ASSERT(node->view() == store.at(*node->writer.seen_revision()));
       }
     }
   }));
@@ -239,7 +239,7 @@
 TEST_CASE("a log that is too long or too old tells less, and says from where on") {
   ChangeLog log;
   const MonotonicTime start{};
-  log.restart(StoreRevision(10));
+  log.reset(StoreRevision(10));
   for (std::uint64_t revision = 11; revision != 3099; ++revision) {
     log.note(make_backend_change("b", revision), start);
   }
@@ -258,15 +258,15 @@
   CHECK_FALSE(log.covers(StoreRevision(3097)));
   CHECK(log.covers(StoreRevision(3098)));
   log.note_configuration(StoreRevision(3470));
-  const std::vector<ViewUpdate> untold = log.make_updates(start + 31s, 0ms);
-  REQUIRE(untold.size() == 1);
-  CHECK(untold[0].after == StoreRevision(3470));
-  CHECK(untold[0].changes.empty());
+  const std::vector<ViewUpdate> without_configuration = log.make_updates(start + 31s, 0ms);
+  REQUIRE(without_configuration.size() == 1);
+  CHECK(without_configuration[0].after == StoreRevision(3470));
+  CHECK(without_configuration[0].changes.empty());
 }
 
 TEST_CASE("more changes than fit into one update go out in several, each joining the one before") {
   ChangeLog log;
-  log.restart(StoreRevision(10));
+  log.reset(StoreRevision(10));
   for (std::uint64_t revision = 11; revision != 71; ++revision) {
     log.note(make_backend_change("b", revision), {});
   }
@@ -291,9 +291,9 @@
   CHECK(changes == 90);
 }
 
-TEST_CASE("what changed since a revision is told once a key, as it was changed last") {
+TEST_CASE("what changed since a revision is received once a key, as it was changed last") {
   ChangeLog log;
-  log.restart(StoreRevision(10));
+  log.reset(StoreRevision(10));
   log.note(make_backend_change("a", 11), {});
   log.note(make_backend_change("b", 12), {});
   // A node and a back end may bear the same name.
@@ -310,7 +310,7 @@
 
 TEST_CASE("a log that is too long forgets its oldest changes") {
   ChangeLog log;
-  log.restart(StoreRevision(10));
+  log.reset(StoreRevision(10));
   for (std::uint64_t revision = 11; revision != 20'011; ++revision) {
     log.note(make_backend_change("b" + std::to_string(revision), revision), {});
   }
@@ -319,17 +319,17 @@
   CHECK(log.changes_since(StoreRevision(20'010 - 16'384)).size() == 16'384);
 }
 
-TEST_CASE("what the last look but one has told is not told again") {
+TEST_CASE("what the last look but one has received is not received again") {
   ChangeLog log;
-  log.restart(StoreRevision(10));
+  log.reset(StoreRevision(10));
   for (std::uint64_t revision = 11; revision != 31; ++revision) {
     log.note(make_backend_change("b", revision), {});
     if (revision == 15 || revision == 25) {
-      log.note_told(StoreRevision(revision));
+      log.note_announced(StoreRevision(revision));
     }
   }
   // Told by two nodes, the older one late: the order of the looks counts.
-  log.note_told(StoreRevision(20));
+  log.note_announced(StoreRevision(20));
   const std::vector<ViewUpdate> updates = log.make_updates({}, 0ms);
   REQUIRE(updates.size() == 1);
   CHECK(updates[0].after == StoreRevision(15));
@@ -345,7 +345,7 @@
   logging::NullLogger logger;
   ViewingNode lister(time, codec, logger);
   // The second page shows a change that was made after the first was read.
-  lister.writer.take_listing(
+  lister.writer.apply_listing(
       {{{"backends/a", "ready", StoreRevision(4)}, {"backends/b", "draining", StoreRevision(15)}},
        StoreRevision(10)});
   ViewUpdate update{.after = StoreRevision(10),
@@ -353,20 +353,20 @@
                     .fingerprint = 1,
                     .view_address = {},
                     .changes = {}};
-  CHECK(lister.writer.take_update(update) == UpdateOutcome::kTaken);
+  CHECK(lister.writer.apply_update(update) == UpdateOutcome::kApplied);
   update.after = StoreRevision(12);
   update.through = StoreRevision(15);
-  CHECK(lister.writer.take_update(update) == UpdateOutcome::kDiffers);
+  CHECK(lister.writer.apply_update(update) == UpdateOutcome::kMismatch);
 }
 
 TEST_CASE("a long log tells what the last looks have not, if that is little") {
   ChangeLog log;
-  log.restart(StoreRevision(10));
+  log.reset(StoreRevision(10));
   for (std::uint64_t revision = 11; revision != 3099; ++revision) {
     log.note(make_backend_change("b", revision), {});
   }
-  log.note_told(StoreRevision(3010));
-  log.note_told(StoreRevision(3050));
+  log.note_announced(StoreRevision(3010));
+  log.note_announced(StoreRevision(3050));
   const std::vector<ViewUpdate> rest = log.make_updates({}, 0ms);
   CHECK(rest.front().after == StoreRevision(3010));
   CHECK(rest.size() == 4);
@@ -377,28 +377,28 @@
   simulation::VirtualTime time;
   const PlainCodec codec;
   logging::NullLogger logger;
-  RememberingStore store;
-  ViewingNode looker(time, codec, logger);
-  ViewingNode hearer(time, codec, logger);
-  looker.writer.take_listing(store.list());
-  hearer.writer.take_listing(store.list());
+  VersionedStore store;
+  ViewingNode poller(time, codec, logger);
+  ViewingNode receiver(time, codec, logger);
+  poller.writer.apply_listing(store.list());
+  receiver.writer.apply_listing(store.list());
   for (int i = 0; i != 60; ++i) {
     store.write("b" + std::to_string(i), false);
   }
-  looker.writer.take_changes(*store.changes_after(StoreRevision(0)));
-  const std::vector<ViewUpdate> updates = looker.writer.make_updates(0ms);
+  poller.writer.apply_changes(*store.changes_after(StoreRevision(0)));
+  const std::vector<ViewUpdate> updates = poller.writer.make_updates(0ms);
   REQUIRE(updates.size() == 3);
-  CHECK(hearer.writer.take_update(updates[0]) == UpdateOutcome::kTaken);
-  CHECK(hearer.writer.take_update(updates[2]) == UpdateOutcome::kPassed);
-  CHECK(hearer.view() == store.at(*hearer.writer.seen()));
-  CHECK(hearer.writer.take_update(updates[1]) == UpdateOutcome::kTaken);
-  CHECK(hearer.writer.take_update(updates[2]) == UpdateOutcome::kTaken);
-  CHECK(hearer.view() == looker.view());
+  CHECK(receiver.writer.apply_update(updates[0]) == UpdateOutcome::kApplied);
+  CHECK(receiver.writer.apply_update(updates[2]) == UpdateOutcome::kSkipped);
+  CHECK(receiver.view() == store.at(*receiver.writer.seen_revision()));
+  CHECK(receiver.writer.apply_update(updates[1]) == UpdateOutcome::kApplied);
+  CHECK(receiver.writer.apply_update(updates[2]) == UpdateOutcome::kApplied);
+  CHECK(receiver.view() == poller.view());
 }
 
 TEST_CASE("an update fits into a datagram and comes through it whole") {
   ChangeLog log;
-  log.restart(StoreRevision(0));
+  log.reset(StoreRevision(0));
   for (std::uint64_t revision = 1; revision != 40; ++revision) {
     BackendChange change = make_backend_change("i-0123456789abcdef", revision);
     change.backend->address = Endpoint("255.255.255.255:65535");
@@ -419,7 +419,7 @@
 struct SharingFixture {
   simulation::VirtualTime time;
   SeededRandom random{5};
-  PlayedStore store;
+  StubStore store;
   PlainCodec codec;
   logging::NullLogger logger;
   gateway::FleetState fleet;
@@ -445,89 +445,89 @@
 }  // namespace
 
 TEST_CASE("while others look, this node does not; when they fall silent, it does in time") {
-  SharingFixture world;
+  SharingFixture fixture;
   for (int i = 0; i != 20; ++i) {
-    world.advance(900ms);
-    world.watcher.take_update(empty_update(10, 11));
+    fixture.advance(900ms);
+    fixture.watcher.receive_update(empty_update(10, 11));
   }
-  CHECK(world.store.changes_calls.empty());
-  world.advance(1480ms);
-  CHECK(world.store.changes_calls.size() == 1);
-  CHECK(world.watcher.statistics().updates_taken == 20);
+  CHECK(fixture.store.changes_calls.empty());
+  fixture.advance(1480ms);
+  CHECK(fixture.store.changes_calls.size() == 1);
+  CHECK(fixture.watcher.statistics().updates_taken == 20);
 }
 
 TEST_CASE("an update that this node cannot join does not put its own look off") {
-  SharingFixture world;
-  world.advance(900ms);
-  world.watcher.take_update(empty_update(12, 14));
-  world.advance(600ms);
-  REQUIRE(world.store.changes_calls.size() == 1);
-  CHECK(world.store.changes_calls[0].after == StoreRevision(10));
+  SharingFixture fixture;
+  fixture.advance(900ms);
+  fixture.watcher.receive_update(empty_update(12, 14));
+  fixture.advance(600ms);
+  REQUIRE(fixture.store.changes_calls.size() == 1);
+  CHECK(fixture.store.changes_calls[0].after == StoreRevision(10));
 }
 
 TEST_CASE("an answer that comes after a newer update brings nothing back") {
-  SharingFixture world;
-  world.advance(1500ms);
-  REQUIRE(world.store.changes_calls.size() == 1);
+  SharingFixture fixture;
+  fixture.advance(1500ms);
+  REQUIRE(fixture.store.changes_calls.size() == 1);
   gateway::Backend draining;
   draining.id = gateway::BackendId("b");
   draining.draining = true;
   ViewUpdate update = empty_update(10, 20);
   update.changes.push_back(BackendChange{StoreRevision(18), draining.id, draining});
   update.fingerprint = stable_hash(wire::encode(draining));
-  world.watcher.take_update(update);
-  take(world.store.changes_calls).done(Changes{{{"backends/b", "ready", StoreRevision(12)}}});
-  CHECK(world.fleet.find(gateway::BackendId("b"))->draining);
+  fixture.watcher.receive_update(update);
+  take(fixture.store.changes_calls).done(Changes{{{"backends/b", "ready", StoreRevision(12)}}});
+  CHECK(fixture.fleet.find(gateway::BackendId("b"))->draining);
 }
 
 TEST_CASE("a view that turns out to differ is listed anew, also when a look is under way") {
   for (const bool under_way : {false, true}) {
-    SharingFixture world;
-    world.advance(under_way ? 1500ms : 500ms);
+    SharingFixture fixture;
+    fixture.advance(under_way ? 1500ms : 500ms);
     ViewUpdate update = empty_update(10, 11);
     update.fingerprint = 77;
-    world.watcher.take_update(update);
+    fixture.watcher.receive_update(update);
     if (under_way) {
-      take(world.store.changes_calls).done(Changes{});
+      take(fixture.store.changes_calls).done(Changes{});
     }
-    world.advance(250ms);
-    REQUIRE(world.store.lists.size() == 1);
-    take(world.store.lists)(
+    fixture.advance(250ms);
+    REQUIRE(fixture.store.lists.size() == 1);
+    take(fixture.store.lists)(
         Listing{{{"backends/b", "ready", StoreRevision(4)}}, StoreRevision(12)});
-    CHECK(world.fleet.find(gateway::BackendId("b")) != nullptr);
+    CHECK(fixture.fleet.find(gateway::BackendId("b")) != nullptr);
   }
 }
 
 TEST_CASE("times within a bound leave room for a slow answer and a second try") {
   for (const Duration bound : {Duration(2s), Duration(3s), Duration(18s)}) {
-    const FleetWatcherSettings settings = settings_within(bound);
-    CHECK(settings.period + settings.spread + settings.retry < bound * 9 / 10);
-    CHECK(settings.fresh_enough >= settings.period + settings.spread);
-    CHECK(settings.fresh_enough < bound * 8 / 10);
+    const FleetWatcherSettings settings = settings_for_staleness_bound(bound);
+    CHECK(settings.period + settings.spread + settings.retry_delay < bound * 9 / 10);
+    CHECK(settings.max_refresh_age >= settings.period + settings.spread);
+    CHECK(settings.max_refresh_age < bound * 8 / 10);
   }
 }
 
 TEST_CASE("a node that starts while the store is out serves with a peer's view") {
   SharingFixture peer;
-  peer.watcher.take_update({.after = StoreRevision(10),
-                            .through = StoreRevision(12),
-                            .fingerprint = stable_hash(wire::encode(gateway::Backend{})),
-                            .view_address = {},
-                            .changes = {make_backend_change("", 12)}});
+  peer.watcher.receive_update({.after = StoreRevision(10),
+                               .through = StoreRevision(12),
+                               .fingerprint = stable_hash(wire::encode(gateway::Backend{})),
+                               .view_address = {},
+                               .changes = {make_backend_change("", 12)}});
   const auto snapshot =
       wire::decode<ViewTransfer>(wire::encode(*peer.watcher.make_transfer(std::nullopt)));
   REQUIRE(snapshot);
 
   simulation::VirtualTime time;
   SeededRandom random{6};
-  PlayedStore store;
+  StubStore store;
   const PlainCodec codec;
   logging::NullLogger logger;
   gateway::FleetState fleet;
   NodeDirectory nodes{time, {NodeId("new"), Endpoint(), ZoneName("a"), Endpoint()}};
   FleetWatcher watcher{{time, time, random, store, codec, logger}, {}, fleet, nodes};
   std::vector<TransferCallback> asked;
-  watcher.on_lost_without_view([&](auto done) { asked.push_back(std::move(done)); });
+  watcher.on_view_needed([&](auto done) { asked.push_back(std::move(done)); });
   CHECK_FALSE(watcher.make_transfer(std::nullopt));
   watcher.start();
   time.run_until(time.now() + 200ms);
@@ -564,16 +564,16 @@
 /// A node that fetches views; the fetches wait to be answered.
 struct FetchingFixture : SharingFixture {
   FetchingFixture() {
-    watcher.on_unjoined([this](const ViewRequest& request, TransferCallback done) {
+    watcher.on_fetch_needed([this](const ViewRequest& request, TransferCallback done) {
       holders.push_back(request.holder);
       fetches.push_back(std::move(done));
     });
   }
   /// An update that this node cannot join, held by another node.
-  void hear_unjoined(std::uint64_t after, const std::string& holder) {
+  void receive_unjoinable(std::uint64_t after, const std::string& holder) {
     ViewUpdate update = empty_update(after, after + 2);
     update.view_address = Endpoint(holder);
-    watcher.take_update(update, [this] { ++covered; });
+    watcher.receive_update(update, [this] { ++covered; });
   }
 
   std::vector<Endpoint> holders;
@@ -592,125 +592,126 @@
 }  // namespace
 
 TEST_CASE("what cannot be joined is fetched from the node that holds it, without a look") {
-  FetchingFixture world;
-  world.advance(900ms);
-  world.hear_unjoined(12, "holder");
-  CHECK(world.covered == 0);
-  world.advance(110ms);
-  REQUIRE(world.fetches.size() == 1);
-  CHECK(world.holders[0] == Endpoint("holder"));
-  world.fetches[0](make_snapshot_at(14, "7"));
-  CHECK(world.covered == 1);
-  CHECK(world.fleet.routes()->configuration().version.value() == 7);
-  world.advance(900ms);
-  CHECK(world.store.changes_calls.empty());
-  world.watcher.take_update(empty_update(14, 15));
-  CHECK(world.watcher.statistics().updates_taken == 1);
+  FetchingFixture fixture;
+  fixture.advance(900ms);
+  fixture.receive_unjoinable(12, "holder");
+  CHECK(fixture.covered == 0);
+  fixture.advance(110ms);
+  REQUIRE(fixture.fetches.size() == 1);
+  CHECK(fixture.holders[0] == Endpoint("holder"));
+  fixture.fetches[0](make_snapshot_at(14, "7"));
+  CHECK(fixture.covered == 1);
+  CHECK(fixture.fleet.routes()->configuration().version.value() == 7);
+  fixture.advance(900ms);
+  CHECK(fixture.store.changes_calls.empty());
+  fixture.watcher.receive_update(empty_update(14, 15));
+  CHECK(fixture.watcher.statistics().updates_taken == 1);
 }
 
 TEST_CASE("an update that others follow does not put this node's own look off") {
-  SharingFixture world;
-  world.advance(900ms);
+  SharingFixture fixture;
+  fixture.advance(900ms);
   ViewUpdate update = empty_update(10, 11);
   update.fingerprint.reset();
-  world.watcher.take_update(update);
-  world.advance(600ms);
-  REQUIRE(world.store.changes_calls.size() == 1);
-  CHECK(world.store.changes_calls[0].after == StoreRevision(11));
+  fixture.watcher.receive_update(update);
+  fixture.advance(600ms);
+  REQUIRE(fixture.store.changes_calls.size() == 1);
+  CHECK(fixture.store.changes_calls[0].after == StoreRevision(11));
 }
 
-TEST_CASE("a node that looks although another has just told its look does not tell its own") {
-  for (const bool heard : {false, true}) {
-    SharingFixture world;
-    int told = 0;
-    world.watcher.on_look([&](const ViewUpdate&) { ++told; });
-    world.advance(1200ms);
-    if (heard) {
-      world.watcher.take_update(empty_update(12, 14));
+TEST_CASE("a node that looks although another has just received its look does not tell its own") {
+  for (const bool recently_received : {false, true}) {
+    SharingFixture fixture;
+    int received = 0;
+    fixture.watcher.on_poll([&](const ViewUpdate&) { ++received; });
+    fixture.advance(1200ms);
+    if (recently_received) {
+      fixture.watcher.receive_update(empty_update(12, 14));
     }
-    world.advance(300ms);
-    REQUIRE(world.store.changes_calls.size() == 1);
-    take(world.store.changes_calls).done(Changes{});
-    CHECK(told == (heard ? 0 : 1));
+    fixture.advance(300ms);
+    REQUIRE(fixture.store.changes_calls.size() == 1);
+    take(fixture.store.changes_calls).done(Changes{});
+    CHECK(received == (recently_received ? 0 : 1));
   }
 }
 
 TEST_CASE("many updates that cannot be joined bring one fetch, from the newest holder") {
-  FetchingFixture world;
+  FetchingFixture fixture;
   for (int i = 0; i != 5; ++i) {
-    world.hear_unjoined(12 + static_cast<std::uint64_t>(i), "holder" + std::to_string(i));
+    fixture.receive_unjoinable(12 + static_cast<std::uint64_t>(i), "holder" + std::to_string(i));
   }
-  world.advance(110ms);
-  REQUIRE(world.fetches.size() == 1);
-  CHECK(world.holders[0] == Endpoint("holder4"));
+  fixture.advance(110ms);
+  REQUIRE(fixture.fetches.size() == 1);
+  CHECK(fixture.holders[0] == Endpoint("holder4"));
   // Whole views are large: the next one waits for half a period.
-  world.fetches[0](make_snapshot_at(14, "7"));
-  world.hear_unjoined(20, "holder5");
-  world.advance(380ms);
-  CHECK(world.fetches.size() == 1);
-  world.advance(120ms);
-  CHECK(world.fetches.size() == 2);
+  fixture.fetches[0](make_snapshot_at(14, "7"));
+  fixture.receive_unjoinable(20, "holder5");
+  fixture.advance(380ms);
+  CHECK(fixture.fetches.size() == 1);
+  fixture.advance(120ms);
+  CHECK(fixture.fetches.size() == 2);
 }
 
 TEST_CASE("a holder that does not answer, or knows less, does not put this node's own look off") {
   for (const bool answers : {false, true}) {
-    FetchingFixture world;
-    world.advance(900ms);
-    world.hear_unjoined(12, "holder");
-    world.advance(110ms);
-    REQUIRE(world.fetches.size() == 1);
-    world.fetches[0](answers ? std::optional(make_snapshot_at(9, "2")) : std::nullopt);
-    CHECK(world.covered == 0);
-    CHECK(world.fleet.routes()->configuration().version.value() == 3);
-    world.advance(500ms);
-    CHECK(world.store.changes_calls.size() == 1);
+    FetchingFixture fixture;
+    fixture.advance(900ms);
+    fixture.receive_unjoinable(12, "holder");
+    fixture.advance(110ms);
+    REQUIRE(fixture.fetches.size() == 1);
+    fixture.fetches[0](answers ? std::optional(make_snapshot_at(9, "2")) : std::nullopt);
+    CHECK(fixture.covered == 0);
+    CHECK(fixture.fleet.routes()->configuration().version.value() == 3);
+    fixture.advance(500ms);
+    CHECK(fixture.store.changes_calls.size() == 1);
   }
 }
 
 TEST_CASE("a listing that was begun before a newer view came does not bring the older one back") {
-  FetchingFixture world;
+  FetchingFixture fixture;
   ViewUpdate differing = empty_update(10, 11);
   differing.fingerprint = 77;
-  world.watcher.take_update(differing);
-  world.advance(250ms);
-  REQUIRE(world.store.lists.size() == 1);
-  world.hear_unjoined(12, "holder");
-  world.advance(110ms);
-  REQUIRE(world.fetches.size() == 1);
+  fixture.watcher.receive_update(differing);
+  fixture.advance(250ms);
+  REQUIRE(fixture.store.lists.size() == 1);
+  fixture.receive_unjoinable(12, "holder");
+  fixture.advance(110ms);
+  REQUIRE(fixture.fetches.size() == 1);
   ViewSnapshot snapshot = make_snapshot_at(14, "7");
   gateway::Backend draining;
   draining.id = gateway::BackendId("b");
   draining.draining = true;
   snapshot.backends.push_back(draining);
-  world.fetches[0](snapshot);
-  take(world.store.lists)(Listing{{{"backends/b", "ready", StoreRevision(4)}}, StoreRevision(12)});
-  REQUIRE(world.fleet.find(gateway::BackendId("b")) != nullptr);
-  CHECK(world.fleet.find(gateway::BackendId("b"))->draining);
+  fixture.fetches[0](snapshot);
+  take(fixture.store.lists)(
+      Listing{{{"backends/b", "ready", StoreRevision(4)}}, StoreRevision(12)});
+  REQUIRE(fixture.fleet.find(gateway::BackendId("b")) != nullptr);
+  CHECK(fixture.fleet.find(gateway::BackendId("b"))->draining);
 }
 
 TEST_CASE("looks that fail come seldomer, and again at their pace after one that succeeds") {
-  SharingFixture world;
-  world.advance(1500ms);
+  SharingFixture fixture;
+  fixture.advance(1500ms);
   std::vector<MonotonicTime> tries;
   for (int i = 0; i != 30; ++i) {
-    REQUIRE(world.store.changes_calls.size() == 1);
-    tries.push_back(world.time.now());
-    take(world.store.changes_calls).done(fail(StoreErrc::kNotDone, "down"));
-    while (world.store.changes_calls.empty()) {
-      world.advance(10ms);
+    REQUIRE(fixture.store.changes_calls.size() == 1);
+    tries.push_back(fixture.time.now());
+    take(fixture.store.changes_calls).done(fail(StoreErrc::kNotDone, "down"));
+    while (fixture.store.changes_calls.empty()) {
+      fixture.advance(10ms);
     }
-    CHECK(world.time.now() - tries.back() >= 150ms);
-    CHECK(world.time.now() - tries.back() <= 1210ms);
+    CHECK(fixture.time.now() - tries.back() >= 150ms);
+    CHECK(fixture.time.now() - tries.back() <= 1210ms);
   }
   // 30 tries at the pace of the first would take 9 s at most.
   CHECK(tries.back() - tries.front() > 12s);
-  take(world.store.changes_calls).done(Changes{});
-  take(world.store.lists)(Listing{{}, StoreRevision(10)});
-  world.advance(1500ms);
-  REQUIRE(world.store.changes_calls.size() == 1);
-  take(world.store.changes_calls).done(fail(StoreErrc::kNotDone, "down"));
-  world.advance(610ms);
-  CHECK(world.store.changes_calls.size() == 1);
+  take(fixture.store.changes_calls).done(Changes{});
+  take(fixture.store.lists)(Listing{{}, StoreRevision(10)});
+  fixture.advance(1500ms);
+  REQUIRE(fixture.store.changes_calls.size() == 1);
+  take(fixture.store.changes_calls).done(fail(StoreErrc::kNotDone, "down"));
+  fixture.advance(610ms);
+  CHECK(fixture.store.changes_calls.size() == 1);
 }
 
 TEST_CASE("however many nodes there are, few look before they can know of each other's look") {
@@ -721,7 +722,7 @@
     for (int round = 0; round != kRounds; ++round) {
       std::vector<Duration> waits;
       for (std::uint32_t node = 0; node != nodes; ++node) {
-        waits.push_back(spread_wait(440ms, nodes, random.unit()));
+        waits.push_back(poll_spread_delay(440ms, nodes, random.unit()));
         CHECK(waits.back() <= 440ms);
       }
       const Duration first = *std::min_element(waits.begin(), waits.end());
@@ -735,13 +736,13 @@
 }
 
 TEST_CASE("a look tells the others what it found") {
-  SharingFixture world;
-  std::vector<ViewUpdate> told;
-  world.watcher.on_look([&](const ViewUpdate& update) { told.push_back(update); });
-  world.advance(1500ms);
-  take(world.store.changes_calls).done(Changes{{{"backends/b", "ready", StoreRevision(12)}}});
-  REQUIRE(told.size() == 1);
-  CHECK(told[0].after == StoreRevision(10));
-  CHECK(told[0].through == StoreRevision(12));
-  CHECK(told[0].changes.size() == 1);
+  SharingFixture fixture;
+  std::vector<ViewUpdate> received;
+  fixture.watcher.on_poll([&](const ViewUpdate& update) { received.push_back(update); });
+  fixture.advance(1500ms);
+  take(fixture.store.changes_calls).done(Changes{{{"backends/b", "ready", StoreRevision(12)}}});
+  REQUIRE(received.size() == 1);
+  CHECK(received[0].after == StoreRevision(10));
+  CHECK(received[0].through == StoreRevision(12));
+  CHECK(received[0].changes.size() == 1);
 }
--- a/src/discovery/tests/played_store.h
+++ b/src/discovery/tests/stub_store.h
@@ -9,7 +9,7 @@
 
 namespace ochrespring::discovery::testing {
 
-class PlayedStore : public shared_store::SharedStore {
+class StubStore : public shared_store::SharedStore {
  public:
   template <class T>
   using Callback = shared_store::StoreCallback<T>;
--- a/src/discovery/view_fetcher.cc
+++ b/src/discovery/view_fetcher.cc
@@ -6,59 +6,62 @@
 namespace ochrespring::discovery {
 
 ViewFetcher::ViewFetcher(const Clock& clock, TimerService& timers, RandomSource& random,
-                         const FleetWatcherSettings& settings, Links links)
+                         const FleetWatcherSettings& settings, Callbacks callbacks)
     : clock_(clock),
       random_(random),
       settings_(settings),
-      links_(std::move(links)),
+      callbacks_(std::move(callbacks)),
       timer_(timers) {}
 
-void ViewFetcher::want(const Endpoint& holder) {
+void ViewFetcher::request(const Endpoint& holder) {
   if (holder.empty()) {
     return;
   }
   holder_ = holder;
-  tries_ = 0;
+  attempts_ = 0;
   if (!fetching_ && !timer_.armed()) {
-    fetch_later(Duration::zero());
+    schedule_fetch(Duration::zero());
   }
 }
 
-void ViewFetcher::want_whole(const Endpoint& holder) {
-  whole_ = true;
-  want(holder);
+void ViewFetcher::request_snapshot(const Endpoint& holder) {
+  needs_snapshot_ = true;
+  request(holder);
 }
 
 /// While more changes than can be told, one fetch in a part of the period has to do.
-void ViewFetcher::fetch_later(Duration least) {
-  Duration wait = least + random_.part_of(settings_.fetch_spread);
-  if (fetched_at_) {
-    const Duration pause =
-        whole_ ? std::max(settings_.fetch_pause, settings_.period / 2) : settings_.fetch_pause;
-    wait += std::max(*fetched_at_ + pause - clock_.now(), Duration::zero());
+void ViewFetcher::schedule_fetch(Duration min_delay) {
+  Duration wait = min_delay + random_.part_of(settings_.fetch_spread);
+  if (last_fetch_started_at_) {
+    const Duration interval = needs_snapshot_
+                                  ? std::max(settings_.fetch_interval, settings_.period / 2)
+                                  : settings_.fetch_interval;
+    wait += std::max(*last_fetch_started_at_ + interval - clock_.now(), Duration::zero());
   }
   timer_.arm(wait, [this] { fetch(); });
 }
 
 void ViewFetcher::fetch() {
   fetching_ = true;
-  fetched_at_ = clock_.now();
-  ++tries_;
-  const ViewRequest request{holder_, whole_ ? std::nullopt : links_.seen()};
-  links_.fetch(request, [this, asked = *fetched_at_](std::optional<ViewTransfer> transfer) {
+  last_fetch_started_at_ = clock_.now();
+  ++attempts_;
+  const ViewRequest view_request{holder_,
+                                 needs_snapshot_ ? std::nullopt : callbacks_.seen_revision()};
+  callbacks_.fetch(view_request, [this, requested_at = *last_fetch_started_at_](
+                                     std::optional<ViewTransfer> transfer) {
     fetching_ = false;
-    if (transfer && links_.take(*transfer, asked)) {
-      whole_ = false;
+    if (transfer && callbacks_.apply(*transfer, requested_at)) {
+      needs_snapshot_ = false;
       return;
     }
-    if (!transfer && tries_ < kTries) {
-      fetch_later(settings_.fetch_spread);
+    if (!transfer && attempts_ < kMaxAttempts) {
+      schedule_fetch(settings_.fetch_spread);
     }
   });
 }
 
-void ViewFetcher::ask(const Endpoint& holder, TransferCallback done) {
-  links_.fetch({holder, links_.seen()}, std::move(done));
+void ViewFetcher::fetch_now(const Endpoint& holder, TransferCallback done) {
+  callbacks_.fetch({holder, callbacks_.seen_revision()}, std::move(done));
 }
 
 }  // namespace ochrespring::discovery
--- a/src/discovery/view_update.h
+++ b/src/discovery/view_update.h
@@ -79,7 +79,7 @@
 
 /// What stands where a look's updates end: whoever has seen the store up to there can find out with
 /// its own next look whether the store has begun another life since.
-struct PositionNews {
+struct PositionReport {
   shared_store::StorePosition position;
 
   template <class Archive>
@@ -90,7 +90,7 @@
 
 /// All that changed in the store between two looks of a node, by its digest: whoever has seen it
 /// can find out after an outage whether the store has lost any of it.
-struct HistoryNews {
+struct HistoryReport {
   shared_store::HistorySpan span;
 
   template <class Archive>
--- a/src/discovery/view_writer.cc
+++ b/src/discovery/view_writer.cc
@@ -17,68 +17,68 @@
 /// How long a back end that had gone is doubted where an older copy of the store shows it: longer
 /// than three heartbeats (1.2 s each as deployed), after which the platform takes the silent ones
 /// away.
-constexpr Duration kDoubtful = std::chrono::seconds(6);
+constexpr Duration kDoubtPeriod = std::chrono::seconds(6);
 
-std::uint64_t hash_of(const gateway::Backend& backend) {
+std::uint64_t hash_backend(const gateway::Backend& backend) {
   return stable_hash(wire::encode(backend));
 }
 
 }  // namespace
 
-bool ViewWriter::take_listing(const shared_store::Listing& listing) {
-  if (!seen_) {
-    take_first_listing(listing);
+bool ViewWriter::apply_listing(const shared_store::Listing& listing) {
+  if (!seen_revision_) {
+    apply_first_listing(listing);
     return true;
   }
-  const bool behind = listing.revision < *seen_;
-  const bool older_life = listing.revision.era() < seen_->era();
-  if (older_life || (behind && !log_.covers(listing.revision))) {
+  const bool behind = listing.revision < *seen_revision_;
+  const bool older_era = listing.revision.era() < seen_revision_->era();
+  if (older_era || (behind && !log_.covers(listing.revision))) {
     // What other nodes told since the listing began is no longer known: it could undo that.
     return false;
   }
-  const bool newer_life = begin_life(listing.revision);
+  const bool newer_era = enter_era(listing.revision);
   if (!behind) {
     position_ = shared_store::newest_position(listing.items);
   }
-  const std::vector<ViewChange> changes = compare(listing);
-  take_other_keys(listing);
+  const std::vector<ViewChange> changes = diff_listing(listing);
+  apply_other_keys(listing);
   for (const ViewChange& change : changes) {
-    std::visit([this](const auto& alternative) { take(alternative); }, change);
+    std::visit([this](const auto& alternative) { apply(alternative); }, change);
   }
-  log_added();
+  log_added_backends();
   if (behind) {
     // The log is in the order of revisions, and these are older ones.
-    log_.restart(*seen_);
+    log_.reset(*seen_revision_);
   } else {
-    seen_ = listing.revision;
-    log_.advance(*seen_);
+    seen_revision_ = listing.revision;
+    log_.advance(*seen_revision_);
   }
-  if (newer_life) {
+  if (newer_era) {
     // Others may have seen more of the life before than this node: what differs from its view does
     // not make theirs right, and they take the whole.
-    log_.restart(listed_through_);
-    listed_ahead_.clear();
+    log_.reset(max_listed_revision_);
+    newer_than_listing_.clear();
   }
-  trusted_ = true;
+  valid_ = true;
   return true;
 }
 
 /// Returns whether `told` is of a later life of the store than the view.
-bool ViewWriter::begin_life(shared_store::StoreRevision told) {
-  const bool later = seen_ && told.era() > seen_->era();
+bool ViewWriter::enter_era(shared_store::StoreRevision told) {
+  const bool later = seen_revision_ && told.era() > seen_revision_->era();
   if (later) {
-    fleet_.doubt_gone(clock_.now() + kDoubtful);
+    fleet_.doubt_gone(clock_.now() + kDoubtPeriod);
   }
   return later;
 }
 
-void ViewWriter::take_first_listing(const shared_store::Listing& listing) {
+void ViewWriter::apply_first_listing(const shared_store::Listing& listing) {
   const StoreLayout& layout = codec_.layout();
   std::vector<gateway::Backend> backends;
   nodes_.replace({});
-  listed_through_ = listing.revision;
+  max_listed_revision_ = listing.revision;
   for (const shared_store::Change& item : listing.items) {
-    listed_through_ = std::max(listed_through_, item.revision);
+    max_listed_revision_ = std::max(max_listed_revision_, item.revision);
     if (item.key.starts_with(layout.backend_prefix)) {
       if (auto backend = entries_.read_backend(item)) {
         backends.push_back(std::move(*backend));
@@ -89,20 +89,20 @@
       }
     }
   }
-  take_other_keys(listing);
+  apply_other_keys(listing);
   fleet_.replace(std::move(backends));
   fingerprint_.reset();
-  seen_ = listing.revision;
+  seen_revision_ = listing.revision;
   position_ = shared_store::newest_position(listing.items);
   // Of the keys of later pages only the newest state is known.
-  log_.restart(listed_through_);
+  log_.reset(max_listed_revision_);
 }
 
-void ViewWriter::take_other_keys(const shared_store::Listing& listing) {
+void ViewWriter::apply_other_keys(const shared_store::Listing& listing) {
   const StoreLayout& layout = codec_.layout();
   for (const shared_store::Change& item : listing.items) {
     if (item.key == layout.configuration_key) {
-      if (take_configuration(*item.value, item.revision)) {
+      if (apply_configuration(*item.value, item.revision)) {
         log_.note_configuration(std::min(item.revision, listing.revision));
       }
     } else if (!item.key.starts_with(layout.backend_prefix) &&
@@ -112,18 +112,18 @@
   }
 }
 
-std::vector<ViewChange> ViewWriter::compare(const shared_store::Listing& listing) {
+std::vector<ViewChange> ViewWriter::diff_listing(const shared_store::Listing& listing) {
   const StoreLayout& layout = codec_.layout();
-  const shared_store::StoreRevision known = *seen_;
+  const shared_store::StoreRevision known = *seen_revision_;
   ListingComparison comparison(listing.revision, known, log_);
-  listed_through_ = std::max(listed_through_, listing.revision);
+  max_listed_revision_ = std::max(max_listed_revision_, listing.revision);
   for (const shared_store::Change& item : listing.items) {
-    listed_through_ = std::max(listed_through_, item.revision);
+    max_listed_revision_ = std::max(max_listed_revision_, item.revision);
     if (item.key.starts_with(layout.backend_prefix)) {
       const auto backend = entries_.read_backend(item);
-      const bool told = backend && comparison.note_backend(*backend, item.revision, fleet_);
+      const bool told = backend && comparison.add_backend(*backend, item.revision, fleet_);
       if (told && item.revision > listing.revision) {
-        listed_ahead_.insert(backend->id);
+        newer_than_listing_.insert(backend->id);
       }
     } else if (item.key.starts_with(layout.node_prefix)) {
       const NodeId id(item.key.substr(layout.node_prefix.size()));
@@ -131,14 +131,14 @@
       if (node && id == nodes_.self().node) {
         nodes_.put(*node, item.revision);
       } else {
-        comparison.note_node(id, item.revision, node, nodes_);
+        comparison.add_node(id, item.revision, node, nodes_);
       }
     }
   }
   return comparison.finish(fleet_, nodes_);
 }
 
-void ViewWriter::learn_nodes(const std::vector<shared_store::Change>& items) {
+void ViewWriter::add_nodes(const std::vector<shared_store::Change>& items) {
   for (const shared_store::Change& item : items) {
     if (item.key.starts_with(codec_.layout().node_prefix)) {
       if (const auto node = entries_.read_node(item)) {
@@ -163,24 +163,24 @@
   return keys;
 }
 
-void ViewWriter::take_changes(const shared_store::Changes& changes) {
-  const shared_store::StoreRevision known = *seen_;
+void ViewWriter::apply_changes(const shared_store::Changes& changes) {
+  const shared_store::StoreRevision known = *seen_revision_;
   for (const shared_store::Change& change : changes.changes) {
     if (change.revision > known) {
-      take_stored(change);
-      seen_ = std::max(*seen_, change.revision);
+      apply_stored_change(change);
+      seen_revision_ = std::max(*seen_revision_, change.revision);
     }
   }
-  if (*seen_ > known) {
+  if (*seen_revision_ > known) {
     position_ = shared_store::newest_position(changes.changes);
   }
-  log_.advance(*seen_);
-  log_added();
+  log_.advance(*seen_revision_);
+  log_added_backends();
 }
 
 std::optional<shared_store::StorePosition> ViewWriter::position() const {
-  for (const auto& known : {position_, told_position_}) {
-    if (seen_ && known && known->revision == *seen_) {
+  for (const auto& known : {position_, reported_position_}) {
+    if (seen_revision_ && known && known->revision == *seen_revision_) {
       return known;
     }
   }
@@ -189,17 +189,17 @@
 
 void ViewWriter::forget_position() {
   position_.reset();
-  told_position_.reset();
+  reported_position_.reset();
 }
 
-bool ViewWriter::learn_position(const shared_store::StorePosition& told) {
+bool ViewWriter::record_position(const shared_store::StorePosition& told) {
   const auto known = position();
   if (known && known->revision == told.revision) {
     return *known == told;
   }
   const bool is_place = told.revision.value() != 0;
-  if (is_place && (!seen_ || told.revision >= *seen_)) {
-    told_position_ = told;
+  if (is_place && (!seen_revision_ || told.revision >= *seen_revision_)) {
+    reported_position_ = told;
   }
   return true;
 }
@@ -207,7 +207,7 @@
 std::vector<ViewUpdate> ViewWriter::make_updates(Duration age) {
   std::vector<ViewUpdate> updates = log_.make_updates(clock_.now(), age);
   updates.back().fingerprint = fingerprint();
-  log_.note_told(updates.back().through);
+  log_.note_announced(updates.back().through);
   return updates;
 }
 
@@ -216,60 +216,62 @@
   if (!fingerprint_) {
     fingerprint_ = 0;
     for (const auto& [id, backend] : fleet_.backends()) {
-      *fingerprint_ += hash_of(backend);
+      *fingerprint_ += hash_backend(backend);
     }
   }
   return *fingerprint_;
 }
 
-UpdateOutcome ViewWriter::take_update(const ViewUpdate& update) {
-  if (seen_ && update.through.era() < seen_->era()) {
+UpdateOutcome ViewWriter::apply_update(const ViewUpdate& update) {
+  if (seen_revision_ && update.through.era() < seen_revision_->era()) {
     return UpdateOutcome::kOutdated;
   }
-  if (!seen_ || update.after > *seen_ || update.through.era() > seen_->era()) {
-    return UpdateOutcome::kPassed;
+  if (!seen_revision_ || update.after > *seen_revision_ ||
+      update.through.era() > seen_revision_->era()) {
+    return UpdateOutcome::kSkipped;
   }
-  apply(update.changes, *seen_);
-  seen_ = std::max(*seen_, update.through);
-  log_.advance(*seen_);
+  apply(update.changes, *seen_revision_);
+  seen_revision_ = std::max(*seen_revision_, update.through);
+  log_.advance(*seen_revision_);
   if (!update.is_last()) {
-    return UpdateOutcome::kTaken;
+    return UpdateOutcome::kApplied;
   }
-  log_.note_told(update.through);
-  return check(update.through, *update.fingerprint);
+  log_.note_announced(update.through);
+  return verify_fingerprint(update.through, *update.fingerprint);
 }
 
-void ViewWriter::apply(const std::vector<ViewChange>& changes, shared_store::StoreRevision behind) {
+void ViewWriter::apply(const std::vector<ViewChange>& changes, shared_store::StoreRevision after) {
   for (const ViewChange& change : changes) {
     std::visit(
         [&](const auto& alternative) {
-          if (alternative.revision > behind) {
-            take(alternative);
+          if (alternative.revision > after) {
+            apply(alternative);
           }
         },
         change);
   }
-  log_added();
+  log_added_backends();
 }
 
-UpdateOutcome ViewWriter::check(shared_store::StoreRevision through, std::uint64_t fingerprint) {
-  const bool comparable = *seen_ == through && *seen_ >= listed_through_;
-  return comparable && fingerprint != this->fingerprint() ? UpdateOutcome::kDiffers
-                                                          : UpdateOutcome::kTaken;
+UpdateOutcome ViewWriter::verify_fingerprint(shared_store::StoreRevision through,
+                                             std::uint64_t fingerprint) {
+  const bool comparable = *seen_revision_ == through && *seen_revision_ >= max_listed_revision_;
+  return comparable && fingerprint != this->fingerprint() ? UpdateOutcome::kMismatch
+                                                          : UpdateOutcome::kApplied;
 }
 
-void ViewWriter::take_stored(const shared_store::Change& change) {
+void ViewWriter::apply_stored_change(const shared_store::Change& change) {
   const StoreLayout& layout = codec_.layout();
   if (change.key == layout.configuration_key && change.value) {
-    take_configuration(*change.value, change.revision);
+    apply_configuration(*change.value, change.revision);
     log_.note_configuration(change.revision);
   } else if (change.key.starts_with(layout.backend_prefix)) {
-    take_backend_entry(change);
+    apply_backend_entry(change);
   } else if (change.key.starts_with(layout.node_prefix)) {
     const NodeId id(change.key.substr(layout.node_prefix.size()));
     auto node = change.value ? entries_.read_node(change) : std::nullopt;
     if (node || !change.value) {
-      take(NodeChange{change.revision, id, std::move(node)});
+      apply(NodeChange{change.revision, id, std::move(node)});
     }
   } else if (other_key_) {
     other_key_(change.key, change.value);
@@ -278,26 +280,26 @@
 
 /// An entry is of one life of a back end. It takes the place of any other life under its name, and
 /// one that cannot be understood names no back end to use.
-void ViewWriter::take_backend_entry(const shared_store::Change& change) {
+void ViewWriter::apply_backend_entry(const shared_store::Change& change) {
   const std::string name = change.key.substr(codec_.layout().backend_prefix.size());
   auto backend = change.value ? entries_.read_backend(change) : std::nullopt;
-  for (const gateway::BackendId& life : fleet_.lives_of(name)) {
-    if (!backend || backend->id != life) {
-      take(BackendChange{change.revision, life, std::nullopt});
+  for (const gateway::BackendId& known : fleet_.lives_of(name)) {
+    if (!backend || backend->id != known) {
+      apply(BackendChange{change.revision, known, std::nullopt});
     }
   }
   if (backend) {
     const gateway::BackendId id = backend->id;
-    take(BackendChange{change.revision, id, std::move(backend)});
+    apply(BackendChange{change.revision, id, std::move(backend)});
   }
 }
 
-/// A listing's state of it may have been newer than the listing: see `listed_ahead_`.
-void ViewWriter::take(BackendChange change) {
+/// A listing's state of it may have been newer than the listing: see `newer_than_listing_`.
+void ViewWriter::apply(BackendChange change) {
   const gateway::Backend* const found = fleet_.find(change.id);
   const bool known = found != nullptr;
-  if (!write(change, found)) {
-    if (change.revision <= listed_through_ && listed_ahead_.erase(change.id) != 0) {
+  if (!update_fleet(change, found)) {
+    if (change.revision <= max_listed_revision_ && newer_than_listing_.erase(change.id) != 0) {
       log_.note(std::move(change), clock_.now());
     }
     return;
@@ -310,30 +312,31 @@
                     {"draining", change.backend && change.backend->draining},
                     {"revision", change.revision.value()}}});
   } else {
-    ++added_;
+    ++added_backends_;
   }
   log_.note(std::move(change), clock_.now());
 }
 
-bool ViewWriter::write(const BackendChange& change, const gateway::Backend* known) {
-  const std::uint64_t before = known != nullptr && fingerprint_ ? hash_of(*known) : 0;
+bool ViewWriter::update_fleet(const BackendChange& change, const gateway::Backend* known) {
+  const std::uint64_t before = known != nullptr && fingerprint_ ? hash_backend(*known) : 0;
   const bool changed = change.backend ? fleet_.put(*change.backend) : fleet_.remove(change.id);
   if (changed && fingerprint_) {
-    *fingerprint_ += (change.backend ? hash_of(*change.backend) : 0) - before;
+    *fingerprint_ += (change.backend ? hash_backend(*change.backend) : 0) - before;
   }
   return changed;
 }
 
-void ViewWriter::log_added() {
-  if (added_ != 0) {
-    logger_.write({logging::Level::kInfo,
-                   kComponent,
-                   "back ends added",
-                   {{"count", std::exchange(added_, 0)}, {"seen_before", seen_->value()}}});
+void ViewWriter::log_added_backends() {
+  if (added_backends_ != 0) {
+    logger_.write(
+        {logging::Level::kInfo,
+         kComponent,
+         "back ends added",
+         {{"count", std::exchange(added_backends_, 0)}, {"seen_before", seen_revision_->value()}}});
   }
 }
 
-void ViewWriter::take(NodeChange change) {
+void ViewWriter::apply(NodeChange change) {
   if (change.record) {
     nodes_.put(*change.record, change.revision);
   } else {
@@ -344,19 +347,19 @@
 
 std::optional<ViewTransfer> ViewWriter::make_transfer(
     std::optional<shared_store::StoreRevision> after) {
-  if (!seen_ || configuration_.empty() || !fleet_.current_at()) {
+  if (!seen_revision_ || configuration_.empty() || !fleet_.current_at()) {
     return std::nullopt;
   }
-  const bool same_life = after && after->era() == seen_->era();
-  if (!same_life || !trusted_ || !log_.covers(*after)) {
+  const bool same_era = after && after->era() == seen_revision_->era();
+  if (!same_era || !valid_ || !log_.covers(*after)) {
     return make_snapshot();
   }
   ViewDelta delta;
   delta.after = *after;
-  delta.through = *seen_;
+  delta.through = *seen_revision_;
   delta.age = clock_.now() - *fleet_.current_at();
   delta.changes = log_.changes_since(*after);
-  if (log_.configuration_at() > *after) {
+  if (log_.configuration_revision() > *after) {
     delta.configuration = configuration_;
   }
   delta.fingerprint = fingerprint();
@@ -365,7 +368,7 @@
 
 ViewSnapshot ViewWriter::make_snapshot() const {
   ViewSnapshot snapshot;
-  snapshot.through = *seen_;
+  snapshot.through = *seen_revision_;
   snapshot.age = clock_.now() - *fleet_.current_at();
   snapshot.configuration = configuration_;
   for (const auto& [id, backend] : fleet_.backends()) {
@@ -375,71 +378,73 @@
   return snapshot;
 }
 
-UpdateOutcome ViewWriter::take_transfer(const ViewTransfer& transfer) {
-  return std::visit([this](const auto& alternative) { return take(alternative); }, transfer);
+UpdateOutcome ViewWriter::apply_transfer(const ViewTransfer& transfer) {
+  return std::visit([this](const auto& alternative) { return apply(alternative); }, transfer);
 }
 
-UpdateOutcome ViewWriter::take(const ViewDelta& delta) {
-  if (!seen_ || delta.after > *seen_ || delta.through < *seen_ ||
-      delta.through.era() != seen_->era()) {
-    return UpdateOutcome::kPassed;
+UpdateOutcome ViewWriter::apply(const ViewDelta& delta) {
+  if (!seen_revision_ || delta.after > *seen_revision_ || delta.through < *seen_revision_ ||
+      delta.through.era() != seen_revision_->era()) {
+    return UpdateOutcome::kSkipped;
   }
-  if (delta.configuration && !take_configuration(*delta.configuration, delta.through)) {
-    return UpdateOutcome::kPassed;
+  if (delta.configuration && !apply_configuration(*delta.configuration, delta.through)) {
+    return UpdateOutcome::kSkipped;
   }
-  apply(delta.changes, *seen_);
-  seen_ = delta.through;
-  log_.advance(*seen_);
+  apply(delta.changes, *seen_revision_);
+  seen_revision_ = delta.through;
+  log_.advance(*seen_revision_);
   if (delta.configuration) {
-    log_.note_configuration(*seen_);
+    log_.note_configuration(*seen_revision_);
   }
-  return check(delta.through, delta.fingerprint);
+  return verify_fingerprint(delta.through, delta.fingerprint);
 }
 
-UpdateOutcome ViewWriter::take(const ViewSnapshot& snapshot) {
-  const bool of_use =
-      !seen_ || snapshot.through > *seen_ || (!trusted_ && snapshot.through == *seen_);
+UpdateOutcome ViewWriter::apply(const ViewSnapshot& snapshot) {
+  const bool useful = !seen_revision_ || snapshot.through > *seen_revision_ ||
+                      (!valid_ && snapshot.through == *seen_revision_);
   const bool known = snapshot.configuration == configuration_;
-  if (!of_use || (!known && !take_configuration(snapshot.configuration, snapshot.through))) {
-    return UpdateOutcome::kPassed;
+  if (!useful || (!known && !apply_configuration(snapshot.configuration, snapshot.through))) {
+    return UpdateOutcome::kSkipped;
   }
-  begin_life(snapshot.through);
+  enter_era(snapshot.through);
   fleet_.replace(snapshot.backends);
   fingerprint_.reset();
   nodes_.replace(snapshot.nodes, snapshot.through);
-  seen_ = snapshot.through;
-  trusted_ = true;
-  log_.restart(snapshot.through);
-  return UpdateOutcome::kTaken;
+  seen_revision_ = snapshot.through;
+  valid_ = true;
+  log_.reset(snapshot.through);
+  return UpdateOutcome::kApplied;
 }
 
-void ViewWriter::take_configuration_alone(const shared_store::Change& item) {
-  if (!item.value || !take_configuration(*item.value, item.revision)) {
+void ViewWriter::apply_configuration_entry(const shared_store::Change& item) {
+  if (!item.value || !apply_configuration(*item.value, item.revision)) {
     return;
   }
   // Who joins an update up to what is seen here is not known to have it.
-  log_.note_configuration(seen_ ? std::min(item.revision, *seen_) : item.revision);
+  log_.note_configuration(seen_revision_ ? std::min(item.revision, *seen_revision_)
+                                         : item.revision);
 }
 
-/// As it was at `told_at`. Returns whether the document was understood. In a later life the store
-/// may hold another document of the version in force: the operator's word after the one it has
-/// lost.
-bool ViewWriter::take_configuration(const std::string& value, shared_store::StoreRevision told_at) {
+/// As it was at `reported_revision`. Returns whether the document was understood. In a later life
+/// the store may hold another document of the version in force: the operator's word after the one
+/// it has lost.
+bool ViewWriter::apply_configuration(const std::string& value,
+                                     shared_store::StoreRevision reported_revision) {
   auto configuration = entries_.read_configuration(value);
   if (!configuration) {
     return false;
   }
   const std::uint64_t version = configuration->version.value();
-  const bool reissued = value != configuration_ && told_at > configuration_at_;
+  const bool reissued = value != configuration_ && reported_revision > configuration_revision_;
   if (fleet_.apply(std::move(*configuration), reissued)) {
     configuration_ = value;
-    configuration_at_ = told_at;
+    configuration_revision_ = reported_revision;
     logger_.write({logging::Level::kInfo,
                    kComponent,
                    "configuration in force",
                    {{"configuration", version}}});
   } else if (value == configuration_) {
-    configuration_at_ = std::max(configuration_at_, told_at);
+    configuration_revision_ = std::max(configuration_revision_, reported_revision);
   }
   return true;
 }
--- a/src/duties/duty_lease.cc
+++ b/src/duties/duty_lease.cc
@@ -186,7 +186,7 @@
   }
   claim_.stored_offset = stored.value();
   // A node that has started may not know how often the store was set back.
-  world_.store.hear_of(StoreRevision(0, stored.value().era));
+  world_.store.observe_revision(StoreRevision(0, stored.value().era));
   era_ = world_.store.era();
 }
 
--- a/src/duties/tests/duty_lease_test.cc
+++ b/src/duties/tests/duty_lease_test.cc
@@ -78,7 +78,7 @@
   void advance(Duration span) { time.run_until(time.now() + span); }
   void kill(std::size_t machine) {
     retired_.push_back(std::move(nodes[machine]));
-    retired_.back()->store.cut = true;
+    retired_.back()->store.partitioned = true;
     alive[machine] = false;
   }
   void restart(std::size_t machine) {
@@ -96,8 +96,8 @@
     return std::nullopt;
   }
   /// The store comes back from a copy; each node learns of it a while later, by a look.
-  void set_back_to(const StoreState::Copy& copy) {
-    state.set_back_to(copy);
+  void set_back_to(const StoreState::Snapshot& copy) {
+    state.restore(copy);
     for (std::size_t i = 0; i != nodes.size(); ++i) {
       Candidate* node = nodes[i].get();
       if (!alive[i]) {
@@ -142,7 +142,7 @@
     return std::make_unique<Candidate>(time, state, machine, ++lives_, defects_, [this, machine] {
       // Whoever lives and comes first; all look at the same.
       for (std::size_t i = 0; i != machine; ++i) {
-        if (alive[i] && !nodes[i]->store.cut && !nodes[i]->store.turned_away &&
+        if (alive[i] && !nodes[i]->store.partitioned && !nodes[i]->store.refuses_calls &&
             !nodes[i]->machine.suspended()) {
           return false;
         }
@@ -233,7 +233,7 @@
 TEST_CASE("the tests see a holder that outlives its lease") {
   Machines world(3, {.margin = -10s});
   world.advance(5s);
-  world.nodes[0]->store.cut = true;
+  world.nodes[0]->store.partitioned = true;
   world.advance(8s);
   CHECK_FALSE(world.broken().empty());
 }
@@ -259,10 +259,10 @@
 TEST_CASE("a holder that the store turns away is followed by another") {
   Machines world(3);
   world.advance(5s);
-  world.nodes[0]->store.turned_away = true;
+  world.nodes[0]->store.refuses_calls = true;
   world.advance(kLease + 2500ms);
   CHECK(world.holder() == 1);
-  world.nodes[0]->store.turned_away = false;
+  world.nodes[0]->store.refuses_calls = false;
   world.advance(10s);
   CHECK(world.holder() == 1);
   CHECK(world.broken().empty());
@@ -270,10 +270,10 @@
 
 TEST_CASE("a claim whose answer was lost is found again, and not made twice") {
   Machines world(1);
-  world.nodes[0]->store.answers_lost = true;
+  world.nodes[0]->store.drops_answers = true;
   world.advance(10s);
   CHECK_FALSE(world.holder());
-  world.nodes[0]->store.answers_lost = false;
+  world.nodes[0]->store.drops_answers = false;
   world.advance(8s);
   CHECK(world.holder() == 0);
   CHECK(world.broken().empty());
@@ -319,12 +319,12 @@
 
 TEST_CASE("a holder that the store has forgotten is followed under a higher fence, not by turns") {
   Machines world(3);
-  const StoreState::Copy before = world.state.copy();
+  const StoreState::Snapshot before = world.state.snapshot();
   world.advance(5s);
   REQUIRE(world.holder() == 0);
   const Fence last = *world.nodes[0]->lease.fence();
   // The holder is cut off as the store comes back without its lease: another is free to claim.
-  world.nodes[0]->store.cut = true;
+  world.nodes[0]->store.partitioned = true;
   world.set_back_to(before);
   world.advance(20s);
   REQUIRE(world.holder() == 1);
@@ -335,7 +335,7 @@
 TEST_CASE("fences rise on when all nodes start anew after the store has come back older") {
   Machines world(2);
   world.advance(5s);
-  const StoreState::Copy copy = world.state.copy();
+  const StoreState::Snapshot copy = world.state.snapshot();
   for (int round = 0; round != 3; ++round) {
     world.kill(0);
     world.advance(6s);
@@ -358,7 +358,7 @@
   CHECK(rc::check("kills, freezes, cuts, restarts, lost and late answers, a store set back", [] {
     constexpr std::size_t kMachines = 6;
     Machines world(kMachines);
-    StoreState::Copy copy = world.state.copy();
+    StoreState::Snapshot copy = world.state.snapshot();
     for (int step = 0; step != 30; ++step) {
       // The holder is struck more often than the others.
       const std::size_t any = *rc::gen::inRange<std::size_t>(0, kMachines);
@@ -382,22 +382,23 @@
           }
           break;
         case 3:
-          node.store.cut = !node.store.cut;
+          node.store.partitioned = !node.store.partitioned;
           break;
         case 4:
-          node.store.turned_away = !node.store.turned_away;
+          node.store.refuses_calls = !node.store.refuses_calls;
           break;
         case 5:
-          node.store.answers_lost = !node.store.answers_lost;
+          node.store.drops_answers = !node.store.drops_answers;
           break;
         case 6:
-          node.store.done_late = node.store.done_late == Duration::zero() ? 4s : Duration::zero();
+          node.store.execution_delay =
+              node.store.execution_delay == Duration::zero() ? 4s : Duration::zero();
           break;
         case 7:
           world.state.down = !world.state.down;
           break;
         case 8:
-          copy = world.state.copy();
+          copy = world.state.snapshot();
           break;
         default:
           world.set_back_to(copy);
--- a/src/fuzzing/targets/node_datagrams.cc
+++ b/src/fuzzing/targets/node_datagrams.cc
@@ -51,7 +51,7 @@
   gateway_node::PeerNews news{{time, time, random, fleet, loads, nodes, watcher},
                               {.peer_address = Endpoint("10.0.0.2:81"),
                                .view_address = Endpoint("10.0.0.2:82"),
-                               .relays = {.from_nodes = 48},
+                               .relays = {.min_nodes = 48},
                                .relay_gather = std::chrono::milliseconds(10)},
                               [](const Endpoint&, std::string_view) {},
                               [](const Endpoint&) {}};
--- a/src/fuzzing/targets/store_entries.cc
+++ b/src/fuzzing/targets/store_entries.cc
@@ -44,7 +44,7 @@
             {layout.backend_prefix + "good", kServer, written}};
   }
   void list(std::vector<shared_store::Change> items, std::uint64_t at) {
-    writer.take_listing({std::move(items), shared_store::StoreRevision(at)});
+    writer.apply_listing({std::move(items), shared_store::StoreRevision(at)});
   }
   void require_good() const {
     fuzzing::require(fleet.routes() != nullptr);
@@ -73,7 +73,7 @@
   // As a change behind a good listing.
   view.list(view.good_entries(), kListedAt);
   view.require_good();
-  view.writer.take_changes({{entry}});
+  view.writer.apply_changes({{entry}});
   view.require_good();
   // In the listing itself.
   auto items = view.good_entries();
--- a/src/gateway_node/gateway_node.cc
+++ b/src/gateway_node/gateway_node.cc
@@ -30,10 +30,10 @@
 
 /// The seeds, which all nodes ask first, list the store when they start; the others ask them.
 discovery::FleetWatcherSettings watcher_settings(const Settings& settings) {
-  auto made =
-      discovery::settings_within(std::min(settings.drain_bound, settings.configuration_bound));
-  made.lists_at_once = std::find(settings.seeds.begin(), settings.seeds.end(),
-                                 settings.view_listen) != settings.seeds.end();
+  auto made = discovery::settings_for_staleness_bound(
+      std::min(settings.drain_bound, settings.configuration_bound));
+  made.lists_immediately = std::find(settings.seeds.begin(), settings.seeds.end(),
+                                     settings.view_listen) != settings.seeds.end();
   return made;
 }
 
@@ -72,7 +72,7 @@
           {clock, loop, random, fleet_, loads_, nodes_, watcher_},
           {.peer_address = settings_.peer_listen,
            .view_address = settings_.view_listen,
-           .relays = {.from_nodes = settings_.relay_from_nodes},
+           .relays = {.min_nodes = settings_.relay_from_nodes},
            .relay_gather = settings_.relay_gather},
           [this](const Endpoint& to, std::string_view bytes) { peer_socket_->send(to, bytes); },
           [this](const Endpoint& view_address) { views_.note_source(view_address); }),
@@ -107,7 +107,7 @@
            .reply = [this](const Endpoint& to, const auto& told) { peer_news_.send(to, told); }}),
       admission_({clock, random, logger, fleet_, loads_, rate_limiter_},
                  [this](const auto& notice) { peer_news_.tell_notice(notice); }),
-      queue_({clock, loop, random, logger, [this] { return nodes_.cautious_count(); }},
+      queue_({clock, loop, random, logger, [this] { return nodes_.conservative_count(); }},
              settings_.queue),
       profile_exchange_(
           {clock, loop, random, profiles_}, settings_.node,
@@ -130,7 +130,7 @@
                 adapter_.engines,
                 statistics_,
                 logger,
-                [this] { return nodes_.cautious_count(); },
+                [this] { return nodes_.conservative_count(); },
                 [this](const TenantName& tenant, Duration ago) { duties_.note_run(tenant, ago); },
                 &quarantine_,
                 &admission_,
@@ -168,11 +168,11 @@
   BOOST_OUTCOME_TRY(listen_to_peers());
   BOOST_OUTCOME_TRY(views_.listen());
   watcher_.on_store_state([this](bool reachable) { peer_news_.on_store_state(reachable); });
-  watcher_.on_lost_without_view(
+  watcher_.on_view_needed(
       [this](auto done) { views_.fetch(known_view_addresses(), std::move(done)); });
-  watcher_.on_unjoined(
+  watcher_.on_fetch_needed(
       [this](const auto& request, auto done) { views_.fetch_from(request, std::move(done)); });
-  watcher_.on_duty([this] { return peer_news_.channel().reading_duty(); });
+  watcher_.on_reading_assignment([this] { return peer_news_.channel().reading_duty(); });
   fleet_.on_added([this](const gateway::Backend& backend) { admission_.note_known(backend.id); });
   fleet_.on_removed([this](const gateway::Backend& backend) {
     loads_.forget(backend.id);
@@ -187,7 +187,7 @@
     apply_limits();
     quarantine_.on_store_answer();
     learn_cached_parts();
-    nodes_.admit_passed_over();
+    nodes_.readmit_deferred();
   });
   watcher_.on_new_era([this] { write_again(); });
   gateway_.on_idle([this] { stop_.on_idle(); });
@@ -217,7 +217,7 @@
 
 /// The store has come back from an older copy, without what was written there since.
 void GatewayNode::write_again() {
-  registration_.rewrite();
+  registration_.reregister();
   duties_.on_store_set_back();
   quarantine_.on_store_set_back();
 }
@@ -305,7 +305,7 @@
   nodes_.leave();
   // The answer to a write of its own may have been lost: what others tell may be newer.
   peer_news_.tell_leaving(
-      [this] { return std::max(registration_.registered(), nodes_.own_registered()); });
+      [this] { return std::max(registration_.registered(), nodes_.own_registration_revision()); });
   registration_.leave();
   callers_.announce_close();
   queue_.stop();
--- a/src/gateway_node/node_metrics.cc
+++ b/src/gateway_node/node_metrics.cc
@@ -48,29 +48,29 @@
 
 using discovery::FleetWatcherStatistics;
 constexpr metrics::CounterRow<FleetWatcherStatistics> kWatcherCounters[] = {
-    {"store_looks", "Looks at the store", &FleetWatcherStatistics::looks},
-    {"store_looks_failed", "Looks that failed", &FleetWatcherStatistics::failed_looks},
+    {"store_looks", "Looks at the store", &FleetWatcherStatistics::polls},
+    {"store_looks_failed", "Looks that failed", &FleetWatcherStatistics::failed_polls},
     {"view_listings", "Listings of the whole store", &FleetWatcherStatistics::listings},
     {"view_updates_taken", "Looks of other nodes taken over",
      &FleetWatcherStatistics::updates_taken},
     {"view_updates_passed", "Looks of other nodes that could not be joined",
-     &FleetWatcherStatistics::updates_passed},
+     &FleetWatcherStatistics::updates_skipped},
     {"view_snapshots_taken", "Views taken over whole from another node",
      &FleetWatcherStatistics::snapshots_taken},
     {"view_changes_fetched", "Changes fetched from another node",
      &FleetWatcherStatistics::deltas_taken},
     {"store_histories_gone", "Looks that the store had forgotten the history of",
-     &FleetWatcherStatistics::histories_gone},
+     &FleetWatcherStatistics::histories_unavailable},
     {"store_listings_passed", "Listings older than the view, by their revision",
-     &FleetWatcherStatistics::listings_passed},
+     &FleetWatcherStatistics::listings_skipped},
     {"store_eras_begun", "Times the store was found to have come back from an older copy",
      &FleetWatcherStatistics::eras_begun},
     {"store_lives_found", "Looks that found another change in the store than was known there",
-     &FleetWatcherStatistics::lives_found},
+     &FleetWatcherStatistics::unannounced_eras},
     {"view_updates_outdated", "Looks of other nodes from before the store came back",
      &FleetWatcherStatistics::updates_outdated},
     {"view_updates_differed", "Looks of other nodes that showed a listing to be needed",
-     &FleetWatcherStatistics::updates_differed},
+     &FleetWatcherStatistics::updates_mismatched},
 };
 
 void add_histogram(const gateway::LatencyHistogram& latency, metrics::SampleSink& sink) {
--- a/src/gateway_node/peer_channel.cc
+++ b/src/gateway_node/peer_channel.cc
@@ -172,11 +172,12 @@
   return !zones.empty() && is_self(zones.front().front());
 }
 
-discovery::ReadingDuty PeerChannel::reading_duty() const {
+discovery::ReadingAssignment PeerChannel::reading_duty() const {
   if (!relays_.in_use()) {
     return {};
   }
-  discovery::ReadingDuty duty{.role = discovery::ReadingRole::kReader, .rank = 0, .readers = {}};
+  discovery::ReadingAssignment duty{
+      .role = discovery::ReadingRole::kReader, .rank = 0, .readers = {}};
   for (std::size_t place = 0; place != discovery::RelayTable::kRelaysPerZone; ++place) {
     for (const Nodes& ranked : relays_.relays()) {
       if (place < ranked.size() && is_self(ranked[place])) {
--- a/src/gateway_node/peer_channel.h
+++ b/src/gateway_node/peer_channel.h
@@ -8,8 +8,8 @@
 #include <utility>
 #include <vector>
 
-#include "discovery/look_schedule.h"
 #include "discovery/node_directory.h"
+#include "discovery/poll_schedule.h"
 #include "discovery/relay_table.h"
 #include "gateway_node/peer_message.h"
 
@@ -32,8 +32,8 @@
   std::function<void(const peer_load::WorkReport&)> work_to_relay;
   /// `covered`, if given, is to be called once this node has seen as much as the update tells.
   std::function<void(const discovery::ViewUpdate&, std::function<void()> covered)> update;
-  std::function<void(const discovery::PositionNews&)> position{};
-  std::function<void(const discovery::HistoryNews&)> history{};
+  std::function<void(const discovery::PositionReport&)> position{};
+  std::function<void(const discovery::HistoryReport&)> history{};
   std::function<void(const peer_load::PartsRequest&)> parts_request;
   std::function<void(const ViewOffer&)> offer;
   std::function<void(const usage::UsageReport&)> usage;
@@ -87,8 +87,8 @@
   /// This node has looked at the store.
   void tell_update(discovery::ViewUpdate update);
   /// To all that look at the store: every node, or in a large fleet every relay.
-  void tell_position(const discovery::PositionNews& news) { tell_every_relay(news); }
-  void tell_history(const discovery::HistoryNews& news) { tell_every_relay(news); }
+  void tell_position(const discovery::PositionReport& news) { tell_every_relay(news); }
+  void tell_history(const discovery::HistoryReport& news) { tell_every_relay(news); }
   void tell_offer(const ViewOffer& offer);
   /// To all that may come to hold the duties: every node, or in a large fleet every relay.
   void tell_usage(const usage::UsageReport& report) { tell_every_relay(report); }
@@ -119,7 +119,7 @@
   /// fleet names the same one.
   bool first_of_relays() const;
   /// The relays read the store for all: the first of each zone, then the second ones.
-  discovery::ReadingDuty reading_duty() const;
+  discovery::ReadingAssignment reading_duty() const;
   /// Nodes to ask first: of this node's zone, or all where the zone has no other.
   std::vector<discovery::NodeRecord> near_nodes() const;
   const PeerTraffic& traffic(std::size_t kind) const { return traffic_[kind]; }
@@ -129,8 +129,8 @@
 
   void take(const peer_load::WorkReport& report) { handlers_.work(report); }
   void take(const discovery::ViewUpdate& update) { handlers_.update(update, {}); }
-  void take(const discovery::PositionNews& news) { handlers_.position(news); }
-  void take(const discovery::HistoryNews& news) { handlers_.history(news); }
+  void take(const discovery::PositionReport& news) { handlers_.position(news); }
+  void take(const discovery::HistoryReport& news) { handlers_.history(news); }
   void take(const peer_load::PartsRequest& request) { handlers_.parts_request(request); }
   void take(const ViewOffer& offer) { handlers_.offer(offer); }
   void take(const usage::UsageReport& report) { handlers_.usage(report); }
--- a/src/gateway_node/peer_message.h
+++ b/src/gateway_node/peer_message.h
@@ -74,7 +74,7 @@
                  NodeLeaving, NodeLeavingToRelay, rate_limit::LimitNews, LimitNewsToRelay,
                  rate_limit::PermitRequest, rate_limit::PermitReply, admission::BackendNotice,
                  BackendNoticeToRelay, quarantine::HorizonRequest, quarantine::HorizonReport,
-                 discovery::PositionNews, discovery::HistoryNews, engine_profiles::ProfileNews,
+                 discovery::PositionReport, discovery::HistoryReport, engine_profiles::ProfileNews,
                  ProfileNewsToRelay, engine_profiles::RelayedProfileNews>;
 
 /// Names of the alternatives, in order, for metrics.
--- a/src/gateway_node/peer_news.cc
+++ b/src/gateway_node/peer_news.cc
@@ -53,12 +53,12 @@
       offer_timer_(world.timers),
       leaving_timer_(world.timers) {
   listen_to_loads();
-  world_.watcher.on_look(
+  world_.watcher.on_poll(
       [this](const discovery::ViewUpdate& update) { channel_.tell_update(update); });
   world_.watcher.on_position(
-      [this](const discovery::PositionNews& news) { channel_.tell_position(news); });
+      [this](const discovery::PositionReport& news) { channel_.tell_position(news); });
   world_.watcher.on_history(
-      [this](const discovery::HistoryNews& news) { channel_.tell_history(news); });
+      [this](const discovery::HistoryReport& news) { channel_.tell_history(news); });
 }
 
 void PeerNews::listen_to_loads() {
@@ -92,11 +92,12 @@
       .work_to_relay = [this](const peer_load::WorkReport& report) { relay_.note_report(report); },
       .update =
           [this](const discovery::ViewUpdate& update, std::function<void()> covered) {
-            world_.watcher.take_update(update, std::move(covered));
+            world_.watcher.receive_update(update, std::move(covered));
           },
       .position =
-          [this](const discovery::PositionNews& news) { world_.watcher.take_position(news); },
-      .history = [this](const discovery::HistoryNews& news) { world_.watcher.take_history(news); },
+          [this](const discovery::PositionReport& news) { world_.watcher.receive_position(news); },
+      .history =
+          [this](const discovery::HistoryReport& news) { world_.watcher.receive_history(news); },
       .parts_request = [this](const peer_load::PartsRequest& request) { tell_parts(request); },
       .offer = [this](const ViewOffer& offer) { on_offer_(offer.view_address); },
       .usage = [this](const usage::UsageReport& report) { call_if_set(usage_, report); },
--- a/src/gateway_node/tests/compatibility_test.cc
+++ b/src/gateway_node/tests/compatibility_test.cc
@@ -124,7 +124,7 @@
   CHECK(is_same<PeerMessage>(corpus.at("history_news")));
   const auto news = wire::decode<PeerMessage>(corpus.at("history_news"));
   REQUIRE(news);
-  CHECK(std::get<discovery::HistoryNews>(news.value()).span ==
+  CHECK(std::get<discovery::HistoryReport>(news.value()).span ==
         shared_store::HistorySpan{.after = shared_store::StoreRevision(510),
                                   .through = shared_store::StoreRevision(514),
                                   .digest = 77});
@@ -167,9 +167,9 @@
   CHECK(PeerMessage(admission::BackendNotice()).index() == kKindsBeforeNotices);
   constexpr std::size_t kKindsBeforeHorizons = 20;
   CHECK(PeerMessage(quarantine::HorizonRequest()).index() == kKindsBeforeHorizons);
-  CHECK(PeerMessage(discovery::PositionNews()).index() == kKindsBeforeHorizons + 2);
+  CHECK(PeerMessage(discovery::PositionReport()).index() == kKindsBeforeHorizons + 2);
   constexpr std::size_t kKindsBeforeHistory = 23;
-  CHECK(PeerMessage(discovery::HistoryNews()).index() == kKindsBeforeHistory);
+  CHECK(PeerMessage(discovery::HistoryReport()).index() == kKindsBeforeHistory);
   constexpr std::size_t kKindsBeforeProfiles = 24;
   CHECK(PeerMessage(engine_profiles::ProfileNews()).index() == kKindsBeforeProfiles);
   CHECK(PeerMessage(engine_profiles::RelayedProfileNews()).index() == kKindsBeforeProfiles + 2);
--- a/src/gateway_node/tests/crash_fleet.h
+++ b/src/gateway_node/tests/crash_fleet.h
@@ -237,7 +237,7 @@
   void restart(std::size_t number) {
     nodes[number]->transport.close_all();
     nodes[number]->cut_off = true;
-    nodes[number]->store.cut = true;
+    nodes[number]->store.partitioned = true;
     retired_.push_back(std::move(nodes[number]));
     start_node(number);
     nodes[number]->touched = time.now();
@@ -721,12 +721,12 @@
       transport(fleet, number),
       store(fleet.time, fleet.state, machine),
       watcher({clock, machine, random, store, fleet.codec, fleet.logger},
-              discovery::settings_within(2s), view, nodes),
+              discovery::settings_for_staleness_bound(2s), view, nodes),
       news(
           {clock, machine, random, view, loads, nodes, watcher},
           {.peer_address = record.peer_address,
            .view_address = record.peer_address,
-           .relays = {.from_nodes = fleet.options().relay_from_nodes},
+           .relays = {.min_nodes = fleet.options().relay_from_nodes},
            .relay_gather = 10ms},
           [this, &fleet](const Endpoint& to, std::string_view bytes) {
             fleet.carry(*this, to, bytes);
@@ -761,7 +761,7 @@
                engines,
                statistics,
                fleet.logger,
-               [this] { return nodes.cautious_count(); },
+               [this] { return nodes.conservative_count(); },
                {},
                fleet.options().guarded ? &quarantine : nullptr,
                fleet.options().rate_limited ? &admission : nullptr},
@@ -792,13 +792,13 @@
   news.on_notices({.take = [this](const auto& told) { admission.take(told); },
                    .tell_all = [this](const auto& send) { admission.tell_all(send); }});
   watcher.on_store_state([this](bool reachable) { news.on_store_state(reachable); });
-  watcher.on_lost_without_view([this, &fleet](auto done) {
+  watcher.on_view_needed([this, &fleet](auto done) {
     fleet.fetch_view(*this, {offered_at, {}}, std::move(done));
   });
-  watcher.on_unjoined([this, &fleet](const auto& request, auto done) {
+  watcher.on_fetch_needed([this, &fleet](const auto& request, auto done) {
     fleet.fetch_view(*this, request, std::move(done));
   });
-  watcher.on_duty([this] { return news.channel().reading_duty(); });
+  watcher.on_reading_assignment([this] { return news.channel().reading_duty(); });
   watcher.on_current([this] {
     quarantine.on_store_answer();
     if (!std::exchange(asked, true)) {
--- a/src/gateway_node/tests/large_fleet.h
+++ b/src/gateway_node/tests/large_fleet.h
@@ -158,8 +158,10 @@
                    shared_store::StoreCallback<shared_store::LeaseId>) override {}
   void end_lease(shared_store::LeaseId,
                  shared_store::StoreCallback<shared_store::LeaseId>) override {}
-  void hear_of(shared_store::StoreRevision revision) override { eras_.hear_of(revision); }
-  void begin_life_after(shared_store::StoreEra ended) override { eras_.begin_life_after(ended); }
+  void observe_revision(shared_store::StoreRevision revision) override {
+    eras_.observe_revision(revision);
+  }
+  void begin_era_after(shared_store::StoreEra ended) override { eras_.begin_era_after(ended); }
   bool names_era() const override { return state_.names_era; }
 
  private:
@@ -182,7 +184,7 @@
       return;
     }
     if (after) {
-      eras_.hear_of(*after);
+      eras_.observe_revision(*after);
     }
     time_.schedule_after(kAnswerTime, [this, done, make, gone, after, sent = eras_.on_send()] {
       if (state_.down || turned_away_) {
@@ -192,14 +194,14 @@
       }
       ++state_.reads;
       if (gone()) {
-        done(fail(shared_store::StoreErrc::kHistoryGone, "gone"));
+        done(fail(shared_store::StoreErrc::kHistoryUnavailable, "gone"));
         return;
       }
       T answer = make();
       if (!state_.names_era) {
         const shared_store::StoreEra era = eras_.on_answer(sent, {{}, revision_of(answer)});
         if (after && era != after->era()) {
-          done(fail(shared_store::StoreErrc::kHistoryGone, "another era"));
+          done(fail(shared_store::StoreErrc::kHistoryUnavailable, "another era"));
           return;
         }
         name_era(answer, era);
@@ -267,7 +269,7 @@
     leaving = true;
     nodes.leave();
     news.tell_leaving([this, told = registered] {
-      return leaving ? std::max(told, nodes.own_registered()) : told;
+      return leaving ? std::max(told, nodes.own_registration_revision()) : told;
     });
   }
 
@@ -440,8 +442,8 @@
 
 /// The first three are the seeds of all.
 inline discovery::FleetWatcherSettings settings_of(int number) {
-  discovery::FleetWatcherSettings settings = discovery::settings_within(4s);
-  settings.lists_at_once = number < 3;
+  discovery::FleetWatcherSettings settings = discovery::settings_for_staleness_bound(4s);
+  settings.lists_immediately = number < 3;
   return settings;
 }
 
@@ -461,19 +463,19 @@
           {large.time, large.time, random, fleet, loads, nodes, watcher},
           {.peer_address = record.peer_address,
            .view_address = record.peer_address,
-           .relays = {.from_nodes = 48},
+           .relays = {.min_nodes = 48},
            .relay_gather = 10ms},
           [this, &large](const Endpoint& to, std::string_view bytes) {
             large.carry(*this, to, bytes);
           },
           [](const Endpoint&) {}) {
   large.know(*this);
-  watcher.on_unjoined([this, &large](const auto& request, auto done) {
+  watcher.on_fetch_needed([this, &large](const auto& request, auto done) {
     large.fetch_view(*this, request, std::move(done));
   });
-  watcher.on_lost_without_view(
+  watcher.on_view_needed(
       [this, &large](auto done) { large.fetch_from_any(*this, std::move(done)); });
-  watcher.on_duty([this] { return news.channel().reading_duty(); });
+  watcher.on_reading_assignment([this] { return news.channel().reading_duty(); });
   watcher.on_store_state([this](bool reachable) { news.on_store_state(reachable); });
 }
 
--- a/src/gateway_node/tests/large_fleet_test.cc
+++ b/src/gateway_node/tests/large_fleet_test.cc
@@ -236,7 +236,7 @@
   fleet.start();
   fleet.advance(4s);
   for (const auto& node : fleet.nodes) {
-    const discovery::ReadingDuty duty = node->news.channel().reading_duty();
+    const discovery::ReadingAssignment duty = node->news.channel().reading_duty();
     node->cut_off = duty.role == discovery::ReadingRole::kReader && duty.rank < 4;
   }
   const std::uint64_t reads = fleet.state.reads;
--- a/src/gateway_node/tests/leaving_node_test.cc
+++ b/src/gateway_node/tests/leaving_node_test.cc
@@ -8,11 +8,11 @@
 
 #include "discovery/node_registration.h"
 #include "gateway_node/tests/large_fleet.h"
-#include "tests/played_store.h"
+#include "tests/stub_store.h"
 
 using namespace ochrespring;
 using namespace ochrespring::gateway_node::testing;
-using ochrespring::discovery::testing::PlayedStore;
+using ochrespring::discovery::testing::StubStore;
 using ochrespring::discovery::testing::take;
 using shared_store::LeaseId;
 using shared_store::StoreErrc;
@@ -25,7 +25,7 @@
 
 std::size_t count_naming(const LargeFleet& fleet, const NodeId& node) {
   return fleet.count([&](const FleetNode& other) {
-    const auto& named = other.nodes.named(kNamed);
+    const auto& named = other.nodes.caller_targets(kNamed);
     return std::any_of(named.begin(), named.end(),
                        [&](const auto& record) { return record.node == node; });
   });
@@ -38,7 +38,7 @@
 
 struct RegistrationWorld {
   simulation::VirtualTime time;
-  PlayedStore store;
+  StubStore store;
   logging::NullLogger logger;
   SeededRandom random{3};
   discovery::NodeRegistration registration{
@@ -97,11 +97,11 @@
   other.node = NodeId("other");
   discovery::NodeDirectory nodes(time, self);
   nodes.replace({other}, StoreRevision(8));
-  CHECK(nodes.own_registered() == StoreRevision());
+  CHECK(nodes.own_registration_revision() == StoreRevision());
   nodes.replace({self, other}, StoreRevision(12));
-  CHECK(nodes.own_registered() == StoreRevision(12));
+  CHECK(nodes.own_registration_revision() == StoreRevision(12));
   nodes.replace({self, other}, StoreRevision(9));
-  CHECK(nodes.own_registered() == StoreRevision(12));
+  CHECK(nodes.own_registration_revision() == StoreRevision(12));
 }
 
 TEST_CASE("a registration that lands after the word is heard of and named no longer") {
@@ -170,7 +170,7 @@
   world.registration.start();
   world.grant(7);
   take(world.store.puts).done(StoreRevision(3));
-  world.registration.rewrite();
+  world.registration.reregister();
   world.registration.leave();
   world.advance(5s);
   CHECK(world.store.ended.empty());
@@ -185,7 +185,7 @@
   world.advance(1s);
   const std::size_t before = world.store.ended.size();
   CHECK(before != 0);
-  world.registration.rewrite();
+  world.registration.reregister();
   world.advance(5s);
   CHECK(world.store.ended.size() == before);
   CHECK(world.store.grants.empty());
--- a/src/gateway_node/tests/node_duties_test.cc
+++ b/src/gateway_node/tests/node_duties_test.cc
@@ -61,7 +61,7 @@
   void advance(Duration span) { time.run_until(time.now() + span); }
   void kill(std::size_t node) {
     retired_.push_back(std::move(nodes[node]));
-    retired_.back()->store.cut = true;
+    retired_.back()->store.partitioned = true;
     alive[node] = false;
   }
   void restart(std::size_t node) {
--- a/src/gateway_node/tests/peer_channel_test.cc
+++ b/src/gateway_node/tests/peer_channel_test.cc
@@ -25,7 +25,7 @@
               std::uint32_t from_nodes, PeerChannel::Send send)
       : record{NodeId(name), Endpoint("front"), ZoneName(zone), Endpoint(name), 0},
         nodes(clock, record),
-        channel(nodes, {.relays = {.from_nodes = from_nodes}, .view_address = Endpoint(name)},
+        channel(nodes, {.relays = {.min_nodes = from_nodes}, .view_address = Endpoint(name)},
                 {.work =
                      [this](const peer_load::WorkReport& report) {
                        ended += report.engines.at(0).ended;
--- a/src/gateway_node/tests/planned_stop_test.cc
+++ b/src/gateway_node/tests/planned_stop_test.cc
@@ -19,7 +19,7 @@
 
 std::size_t count_naming(const LargeFleet& fleet, const NodeId& node) {
   return fleet.count([&](const FleetNode& other) {
-    const auto& named = other.nodes.named(kNamed);
+    const auto& named = other.nodes.caller_targets(kNamed);
     return std::any_of(named.begin(), named.end(),
                        [&](const auto& record) { return record.node == node; });
   });
--- a/src/gateway_node/tests/unnamed_lives_test.cc
+++ b/src/gateway_node/tests/unnamed_lives_test.cc
@@ -130,8 +130,9 @@
   }
   fleet.state.down = false;
   fleet.advance(kToAllNodes);
-  CHECK(fleet.count(
-            [](const FleetNode& node) { return node.watcher.statistics().lives_found != 0; }) == 0);
+  CHECK(fleet.count([](const FleetNode& node) {
+    return node.watcher.statistics().unannounced_eras != 0;
+  }) == 0);
 }
 
 TEST_CASE("whatever was known, lost and written anew, views are those of the store again") {
--- a/src/quarantine/tests/quarantine_store_test.cc
+++ b/src/quarantine/tests/quarantine_store_test.cc
@@ -74,7 +74,7 @@
   CrashReport report;
   world.quarantined.add(report, [](bool stored) { CHECK(stored); });
   world.advance();
-  world.store.answers_lost = true;
+  world.store.drops_answers = true;
   world.claim(0);
   world.advance();
   world.advance();
--- a/src/shared_store/era_tracker.cc
+++ b/src/shared_store/era_tracker.cc
@@ -4,13 +4,13 @@
 
 namespace ochrespring::shared_store {
 
-StoreEra EraTracker::on_answer(const Sent& sent, const Answer& answer) {
+StoreEra EraTracker::on_answer(const Snapshot& sent, const Answer& answer) {
   StoreEra era = sent.era;
-  named_last_ = answer.era.has_value();
+  newest_named_era_ = answer.era.has_value();
   if (answer.era) {
-    named_ = true;
+    names_eras_ = true;
     era = std::max(era, *answer.era);
-  } else if (proves_new_life(sent, answer)) {
+  } else if (proves_new_era(sent, answer)) {
     // Another answer may have shown the same already.
     era = std::max(era_, sent.era.next());
   }
@@ -18,17 +18,17 @@
   return era;
 }
 
-bool EraTracker::proves_new_life(const Sent& sent, const Answer& answer) const {
-  return !named_ && answer.revision && *answer.revision < sent.newest;
+bool EraTracker::proves_new_era(const Snapshot& sent, const Answer& answer) const {
+  return !names_eras_ && answer.revision && *answer.revision < sent.newest;
 }
 
 void EraTracker::note(StoreEra era, std::uint64_t revision) {
   known_ = true;
   if (era > era_) {
     era_ = era;
-    newest_ = revision;
+    newest_revision_ = revision;
   } else if (era == era_) {
-    newest_ = std::max(newest_, revision);
+    newest_revision_ = std::max(newest_revision_, revision);
   }
 }
 
--- a/src/shared_store/era_tracker.h
+++ b/src/shared_store/era_tracker.h
@@ -15,7 +15,7 @@
 class EraTracker {
  public:
   /// What was known when a call left.
-  struct Sent {
+  struct Snapshot {
     StoreEra era;
     std::uint64_t newest = 0;  ///< The highest revision of that era that was known.
   };
@@ -25,27 +25,27 @@
     std::optional<std::uint64_t> revision;
   };
 
-  Sent on_send() const { return {era_, newest_}; }
+  Snapshot on_send() const { return {era_, newest_revision_}; }
   /// The era of the answer: never one before that which was known when its call left.
-  StoreEra on_answer(const Sent& sent, const Answer& answer);
+  StoreEra on_answer(const Snapshot& sent, const Answer& answer);
   /// Another node has seen the store at `revision`.
-  void hear_of(StoreRevision revision) { note(revision.era(), revision.value()); }
+  void observe_revision(StoreRevision revision) { note(revision.era(), revision.value()); }
   /// What the store holds has shown that it has begun another life since `ended`.
-  void begin_life_after(StoreEra ended) { note(ended.next(), 0); }
+  void begin_era_after(StoreEra ended) { note(ended.next(), 0); }
   /// Whether the newest answer named its era.
-  bool names_era() const { return named_last_; }
+  bool names_era() const { return newest_named_era_; }
   /// None before the first answer.
   std::optional<StoreEra> known() const { return known_ ? std::optional(era_) : std::nullopt; }
 
  private:
   void note(StoreEra era, std::uint64_t revision);
-  bool proves_new_life(const Sent& sent, const Answer& answer) const;
+  bool proves_new_era(const Snapshot& sent, const Answer& answer) const;
 
   bool known_ = false;
   StoreEra era_;
-  std::uint64_t newest_ = 0;
-  bool named_ = false;       ///< The store names its era.
-  bool named_last_ = false;  ///< The newest answer did.
+  std::uint64_t newest_revision_ = 0;
+  bool names_eras_ = false;        ///< The store names its era.
+  bool newest_named_era_ = false;  ///< The newest answer did.
 };
 
 }  // namespace ochrespring::shared_store
--- a/src/shared_store/history_span.cc
+++ b/src/shared_store/history_span.cc
@@ -8,18 +8,18 @@
 
 namespace {
 
-std::uint64_t digest_of(StoreRevision after, StoreRevision through,
-                        const std::vector<Change>& changes) {
+std::uint64_t compute_digest(StoreRevision after, StoreRevision through,
+                             const std::vector<Change>& changes) {
   std::uint64_t digest = 0;
   for (const Change& change : changes) {
     if (change.revision > after && change.revision <= through) {
-      digest += combine_hashes(change.revision.value(), position_of(change).change);
+      digest += combine_hashes(change.revision.value(), position_of(change).change_hash);
     }
   }
   return digest;
 }
 
-StoreRevision newest_of(const std::vector<Change>& changes) {
+StoreRevision newest_revision(const std::vector<Change>& changes) {
   return std::max_element(
              changes.begin(), changes.end(),
              [](const Change& left, const Change& right) { return left.revision < right.revision; })
@@ -28,21 +28,22 @@
 
 }  // namespace
 
-std::optional<HistorySpan> span_of(StoreRevision after, const std::vector<Change>& changes) {
-  if (changes.empty() || newest_of(changes) <= after) {
+std::optional<HistorySpan> make_span(StoreRevision after, const std::vector<Change>& changes) {
+  if (changes.empty() || newest_revision(changes) <= after) {
     return std::nullopt;
   }
-  const StoreRevision through = newest_of(changes);
+  const StoreRevision through = newest_revision(changes);
   return HistorySpan{
-      .after = after, .through = through, .digest = digest_of(after, through, changes)};
+      .after = after, .through = through, .digest = compute_digest(after, through, changes)};
 }
 
 PositionCheck check_span(const HistorySpan& span, const std::vector<Change>& changes) {
-  if (changes.empty() || newest_of(changes) < span.through) {
+  if (changes.empty() || newest_revision(changes) < span.through) {
     return PositionCheck::kUnknown;
   }
-  return digest_of(span.after, span.through, changes) == span.digest ? PositionCheck::kSame
-                                                                     : PositionCheck::kOther;
+  return compute_digest(span.after, span.through, changes) == span.digest
+             ? PositionCheck::kSame
+             : PositionCheck::kDifferent;
 }
 
 }  // namespace ochrespring::shared_store
--- a/src/shared_store/history_span.h
+++ b/src/shared_store/history_span.h
@@ -29,7 +29,7 @@
 };
 
 /// All changes after `after`, as the store has told them; none of none.
-std::optional<HistorySpan> span_of(StoreRevision after, const std::vector<Change>& changes);
+std::optional<HistorySpan> make_span(StoreRevision after, const std::vector<Change>& changes);
 
 /// Compares the span with all changes after `span.after` or an earlier revision, as the store tells
 /// them now. kUnknown if it tells nothing as new as the span's end.
--- a/src/shared_store/store.h
+++ b/src/shared_store/store.h
@@ -75,8 +75,8 @@
   virtual void list(const std::string& prefix, StoreCallback<Listing> done) = 0;
   /// One page of keys.
   virtual void list_page(const PageRequest& request, StoreCallback<ListPage> done) = 0;
-  /// Changes after `after`, as soon as there are any, or none after `wait`. kHistoryGone if they
-  /// cannot be told any more, or if the store has begun another life since.
+  /// Changes after `after`, as soon as there are any, or none after `wait`. kHistoryUnavailable if
+  /// they cannot be told any more, or if the store has begun another life since.
   virtual void changes(const std::string& prefix, StoreRevision after, Duration wait,
                        StoreCallback<Changes> done) = 0;
   /// Writes a key, bound to a lease if one is given.
@@ -93,11 +93,11 @@
   virtual void end_lease(LeaseId lease, StoreCallback<LeaseId> done) = 0;
   /// Another node has seen the store at `revision`: answers to calls that leave from now on are of
   /// that life or a later one.
-  virtual void hear_of(StoreRevision /*revision*/) {}
+  virtual void observe_revision(StoreRevision /*revision*/) {}
   /// The store has turned out to have begun another life after `ended`, though its answers did not
   /// say so: those to calls that leave from now on are of the next one. For a store that names its
   /// lives there is nothing to do.
-  virtual void begin_life_after(StoreEra /*ended*/) {}
+  virtual void begin_era_after(StoreEra /*ended*/) {}
   /// Whether the newest answer named its life: what the store has told since is of that life then.
   virtual bool names_era() const { return false; }
   /// The newest life of the store that is known of; none before the first answer.
--- a/src/shared_store/store_position.cc
+++ b/src/shared_store/store_position.cc
@@ -6,7 +6,8 @@
 
 StorePosition position_of(const Change& change) {
   const std::uint64_t value = change.value ? combine_hashes(1, stable_hash(*change.value)) : 0;
-  return {.revision = change.revision, .change = combine_hashes(stable_hash(change.key), value)};
+  return {.revision = change.revision,
+          .change_hash = combine_hashes(stable_hash(change.key), value)};
 }
 
 std::optional<StorePosition> newest_position(const std::vector<Change>& changes) {
@@ -34,7 +35,7 @@
     }
     other = true;
   }
-  return other ? PositionCheck::kOther : PositionCheck::kUnknown;
+  return other ? PositionCheck::kDifferent : PositionCheck::kUnknown;
 }
 
 }  // namespace ochrespring::shared_store
--- a/src/shared_store/store_position.h
+++ b/src/shared_store/store_position.h
@@ -14,7 +14,7 @@
 /// stands for the same change for ever.
 struct StorePosition {
   StoreRevision revision;
-  std::uint64_t change = 0;  ///< Hash of the key and its value, or its end.
+  std::uint64_t change_hash = 0;  ///< Hash of the key and its value, or its end.
 
   bool operator==(const StorePosition&) const = default;
 
@@ -25,7 +25,7 @@
   template <class Archive>
   void serialize(Archive& archive, unsigned /*version*/) {
     archive& revision;
-    archive& change;
+    archive& change_hash;
   }
 };
 
@@ -36,9 +36,9 @@
 std::optional<StorePosition> newest_position(const std::vector<Change>& changes);
 
 enum class PositionCheck : std::uint8_t {
-  kSame,     ///< The change stands there.
-  kOther,    ///< Another one does: the store has begun another life.
-  kUnknown,  ///< Nothing is told of that number.
+  kSame,       ///< The change stands there.
+  kDifferent,  ///< Another one does: the store has begun another life.
+  kUnknown,    ///< Nothing is told of that number.
 };
 
 /// Looks for the position among all changes after `position.before()`, which the store has told.
--- a/src/shared_store/tests/history_span_test.cc
+++ b/src/shared_store/tests/history_span_test.cc
@@ -17,37 +17,38 @@
   return {.key = key, .value = std::move(value), .revision = StoreRevision(revision)};
 }
 
-const std::vector<Change> kTold{change_at(6, "a", "1"), change_at(7, "b", "1"),
-                                change_at(9, "c", std::nullopt)};
+const std::vector<Change> kChanges{change_at(6, "a", "1"), change_at(7, "b", "1"),
+                                   change_at(9, "c", std::nullopt)};
 
 }  // namespace
 
 TEST_CASE("a span covers what stands behind its beginning, up to the newest change") {
-  CHECK_FALSE(span_of(StoreRevision(5), {}));
-  CHECK_FALSE(span_of(StoreRevision(9), kTold));
-  const auto span = span_of(StoreRevision(6), kTold);
+  CHECK_FALSE(make_span(StoreRevision(5), {}));
+  CHECK_FALSE(make_span(StoreRevision(9), kChanges));
+  const auto span = make_span(StoreRevision(6), kChanges);
   REQUIRE(span);
   CHECK(span->after == StoreRevision(6));
   CHECK(span->through == StoreRevision(9));
-  CHECK(span == span_of(StoreRevision(6), {kTold[1], kTold[2]}));
-  CHECK(span != span_of(StoreRevision(5), kTold));
+  CHECK(span == make_span(StoreRevision(6), {kChanges[1], kChanges[2]}));
+  CHECK(span != make_span(StoreRevision(5), kChanges));
   CHECK(wire::decode<HistorySpan>(wire::encode(*span)).value() == *span);
 }
 
 TEST_CASE("a change before the newest that was lost or replaced shows another life") {
-  const HistorySpan span = *span_of(StoreRevision(5), kTold);
-  CHECK(check_span(span, kTold) == PositionCheck::kSame);
-  CHECK(check_span(span, {change_at(4, "z", "1"), kTold[0], kTold[1], kTold[2],
+  const HistorySpan span = *make_span(StoreRevision(5), kChanges);
+  CHECK(check_span(span, kChanges) == PositionCheck::kSame);
+  CHECK(check_span(span, {change_at(4, "z", "1"), kChanges[0], kChanges[1], kChanges[2],
                           change_at(10, "z", "2")}) == PositionCheck::kSame);
-  CHECK(check_span(span, {kTold[0], change_at(7, "b", "2"), kTold[2]}) == PositionCheck::kOther);
-  CHECK(check_span(span, {kTold[0], kTold[2]}) == PositionCheck::kOther);
-  CHECK(check_span(span, {change_at(10, "z", "2")}) == PositionCheck::kOther);
+  CHECK(check_span(span, {kChanges[0], change_at(7, "b", "2"), kChanges[2]}) ==
+        PositionCheck::kDifferent);
+  CHECK(check_span(span, {kChanges[0], kChanges[2]}) == PositionCheck::kDifferent);
+  CHECK(check_span(span, {change_at(10, "z", "2")}) == PositionCheck::kDifferent);
 }
 
 TEST_CASE("a store that tells nothing as new as the span's end proves nothing") {
-  const HistorySpan span = *span_of(StoreRevision(5), kTold);
+  const HistorySpan span = *make_span(StoreRevision(5), kChanges);
   CHECK(check_span(span, {}) == PositionCheck::kUnknown);
-  CHECK(check_span(span, {kTold[0], kTold[1]}) == PositionCheck::kUnknown);
+  CHECK(check_span(span, {kChanges[0], kChanges[1]}) == PositionCheck::kUnknown);
 }
 
 TEST_CASE("the order in which changes of one number are told makes no difference") {
@@ -56,8 +57,8 @@
     for (const std::uint8_t key : keys) {
       changes.push_back(change_at(1 + key % 5U, std::to_string(key), "v"));
     }
-    const auto span = span_of(StoreRevision(), changes);
+    const auto span = make_span(StoreRevision(), changes);
     std::reverse(changes.begin(), changes.end());
-    RC_ASSERT(span_of(StoreRevision(), changes) == span);
+    RC_ASSERT(make_span(StoreRevision(), changes) == span);
   }));
 }
