--- a/src/shared_store/tests/memory_store.h
+++ b/src/shared_store/tests/memory_store.h
@@ -26,12 +26,12 @@
       const auto found = items.find(condition.key);
       const StoreRevision now = found == items.end() ? StoreRevision() : found->second.revision;
       if (now != condition.revision) {
-        return fail(StoreErrc::kConflict, "condition");
+        return fail(StoreErrc::kConflict, "condition failed");
       }
     }
     for (const Write& write : transaction.writes) {
       if (write.lease && !leases.contains(*write.lease)) {
-        return fail(StoreErrc::kNotFound, "lease");
+        return fail(StoreErrc::kNotFound, "lease not found");
       }
     }
     for (const Write& write : transaction.writes) {
@@ -60,13 +60,13 @@
   }
   void end(LeaseId lease) {
     leases.erase(lease);
-    std::vector<std::string> gone;
+    std::vector<std::string> removed;
     for (const auto& [key, item] : items) {
       if (bound[key] == lease) {
-        gone.push_back(key);
+        removed.push_back(key);
       }
     }
-    for (const std::string& key : gone) {
+    for (const std::string& key : removed) {
       remove(key);
     }
   }
@@ -85,10 +85,10 @@
   }
 
   /// What the store would be set back to.
-  struct Copy;
-  Copy copy() const;
+  struct Snapshot;
+  Snapshot snapshot() const;
   /// Comes back as it was when the copy was made; leases of before run on from now.
-  void set_back_to(const Copy& copy);
+  void restore(const Snapshot& snapshot);
   StoreRevision now() const { return StoreRevision(revision, era); }
 
   struct Lease {
@@ -111,23 +111,23 @@
   std::uint64_t last_lease_ = 0;
 };
 
-struct StoreState::Copy {
+struct StoreState::Snapshot {
   std::uint64_t revision = 0;
   std::map<std::string, Change> items;
   std::map<std::string, LeaseId> bound;
   std::map<LeaseId, Lease> leases;
 };
 
-inline StoreState::Copy StoreState::copy() const {
+inline StoreState::Snapshot StoreState::snapshot() const {
   return {revision, items, bound, leases};
 }
 
-inline void StoreState::set_back_to(const Copy& copy) {
+inline void StoreState::restore(const Snapshot& snapshot) {
   era = era.next();
-  revision = copy.revision;
-  items = copy.items;
-  bound = copy.bound;
-  leases = copy.leases;
+  revision = snapshot.revision;
+  items = snapshot.items;
+  bound = snapshot.bound;
+  leases = snapshot.leases;
   history.clear();
   for (auto& [key, item] : items) {
     item.revision = StoreRevision(item.revision.value(), era);
@@ -144,11 +144,11 @@
   MemoryStore(simulation::VirtualTime& time, StoreState& state, TimerService& node)
       : time_(time), state_(state), node_(node) {}
 
-  bool turned_away = false;   ///< It answers others.
-  bool cut = false;           ///< Calls are lost.
-  bool answers_lost = false;  ///< Calls are done and not answered.
+  bool refuses_calls = false;  ///< It answers others.
+  bool partitioned = false;    ///< Calls are lost.
+  bool drops_answers = false;  ///< Calls are done and not answered.
   /// Calls are not answered, and done only after this time.
-  Duration done_late{};
+  Duration execution_delay{};
   std::uint64_t calls = 0;
 
   void list(const std::string& prefix, StoreCallback<Listing> done) override {
@@ -182,7 +182,7 @@
     call<Changes>(std::move(done), [this, prefix, after]() -> Result<Changes, StoreError> {
       state_.expire();
       if (after.era() != state_.era) {
-        return fail(StoreErrc::kHistoryGone, "another life");
+        return fail(StoreErrc::kHistoryUnavailable, "another era");
       }
       Changes changes;
       for (const Change& change : state_.history) {
@@ -206,7 +206,7 @@
       state_.expire();
       const auto found = state_.items.find(key);
       if (found == state_.items.end()) {
-        return fail(StoreErrc::kNotFound, "absent");
+        return fail(StoreErrc::kNotFound, "key not found");
       }
       return found->second;
     });
@@ -219,7 +219,7 @@
   void renew_lease(LeaseId lease, StoreCallback<LeaseId> done) override {
     call<LeaseId>(std::move(done), [this, lease]() -> Result<LeaseId, StoreError> {
       if (!state_.renew(lease)) {
-        return fail(StoreErrc::kNotFound, "lease");
+        return fail(StoreErrc::kNotFound, "lease not found");
       }
       return lease;
     });
@@ -238,16 +238,18 @@
   template <class T>
   void call(StoreCallback<T> done, std::function<Result<T, StoreError>()> act) {
     ++calls;
-    if (turned_away || state_.down) {
+    if (refuses_calls || state_.down) {
       node_.schedule_after(state_.answer_time,
-                           [done] { done(fail(StoreErrc::kNotDone, "turned away")); });
+                           [done] { done(fail(StoreErrc::kNotDone, "call refused")); });
       return;
     }
-    if (cut || answers_lost || done_late != Duration::zero()) {
-      if (!cut) {
-        time_.schedule_after(std::max(done_late, state_.answer_time / 2), [act] { (void)act(); });
+    if (partitioned || drops_answers || execution_delay != Duration::zero()) {
+      if (!partitioned) {
+        time_.schedule_after(std::max(execution_delay, state_.answer_time / 2),
+                             [act] { (void)act(); });
       }
-      node_.schedule_after(kTimeout, [done] { done(fail(StoreErrc::kUnknownEffect, "silent")); });
+      node_.schedule_after(kTimeout,
+                           [done] { done(fail(StoreErrc::kUnknownEffect, "no answer")); });
       return;
     }
     time_.schedule_after(state_.answer_time / 2, [this, done, act] {
--- a/src/shared_store/tests/store_position_test.cc
+++ b/src/shared_store/tests/store_position_test.cc
@@ -44,8 +44,8 @@
   // Of a transaction that changed several keys at once.
   CHECK(check_position(position, {change_at(7, "a", "1"), change_at(7, "k", "v")}) ==
         PositionCheck::kSame);
-  CHECK(check_position(position, {change_at(7, "k", "w")}) == PositionCheck::kOther);
-  CHECK(check_position(position, {change_at(7, "k", std::nullopt)}) == PositionCheck::kOther);
+  CHECK(check_position(position, {change_at(7, "k", "w")}) == PositionCheck::kDifferent);
+  CHECK(check_position(position, {change_at(7, "k", std::nullopt)}) == PositionCheck::kDifferent);
   CHECK(check_position(position, {change_at(8, "k", "w")}) == PositionCheck::kUnknown);
   CHECK(check_position(position, {}) == PositionCheck::kUnknown);
 }
--- a/src/shared_store/tests/store_revision_test.cc
+++ b/src/shared_store/tests/store_revision_test.cc
@@ -35,9 +35,9 @@
 
 TEST_CASE("an answer to a call that left in a life before is of that life, unless it says more") {
   EraTracker eras;
-  eras.hear_of(StoreRevision(20, StoreEra(1)));
-  const EraTracker::Sent sent = eras.on_send();
-  eras.hear_of(StoreRevision(30, StoreEra(2)));
+  eras.observe_revision(StoreRevision(20, StoreEra(1)));
+  const EraTracker::Snapshot sent = eras.on_send();
+  eras.observe_revision(StoreRevision(30, StoreEra(2)));
   CHECK(eras.on_answer(sent, {.era = {}, .revision = 25}) == StoreEra(1));
   CHECK(eras.on_answer(sent, {.era = StoreEra(1), .revision = 25}) == StoreEra(1));
   CHECK(eras.known() == StoreEra(2));
@@ -46,7 +46,7 @@
 TEST_CASE("where the store names no era, a lower revision than was known proves a new life") {
   EraTracker eras;
   CHECK(eras.on_answer(eras.on_send(), {.era = {}, .revision = 26}) == StoreEra());
-  const EraTracker::Sent early = eras.on_send();
+  const EraTracker::Snapshot early = eras.on_send();
   CHECK(eras.on_answer(eras.on_send(), {.era = {}, .revision = 26}) == StoreEra());
   CHECK(eras.on_answer(eras.on_send(), {.era = {}, .revision = {}}) == StoreEra());
   CHECK(eras.on_answer(eras.on_send(), {.era = {}, .revision = 24}) == StoreEra(1));
@@ -57,18 +57,18 @@
 
 TEST_CASE("what other nodes have seen is known, too") {
   EraTracker eras;
-  eras.hear_of(StoreRevision(40));
+  eras.observe_revision(StoreRevision(40));
   CHECK(eras.on_answer(eras.on_send(), {.era = {}, .revision = 39}) == StoreEra(1));
-  eras.hear_of(StoreRevision(50));
+  eras.observe_revision(StoreRevision(50));
   CHECK(eras.on_answer(eras.on_send(), {.era = {}, .revision = 45}) == StoreEra(1));
 }
 
 TEST_CASE("a life that its contents have shown is the next one, for whoever finds it first") {
   EraTracker eras;
   CHECK(eras.on_answer(eras.on_send(), {.era = {}, .revision = 26}) == StoreEra());
-  const EraTracker::Sent early = eras.on_send();
-  eras.begin_life_after(StoreEra());
-  eras.begin_life_after(StoreEra());  // Found by two looks.
+  const EraTracker::Snapshot early = eras.on_send();
+  eras.begin_era_after(StoreEra());
+  eras.begin_era_after(StoreEra());  // Found by two looks.
   CHECK(eras.known() == StoreEra(1));
   CHECK(eras.on_answer(eras.on_send(), {.era = {}, .revision = 24}) == StoreEra(1));
   CHECK(eras.on_answer(early, {.era = {}, .revision = 27}) == StoreEra());
@@ -77,7 +77,7 @@
 TEST_CASE("a life found by its contents stays ahead of the name that the store goes on giving") {
   EraTracker eras;
   CHECK(eras.on_answer(eras.on_send(), {.era = StoreEra(4), .revision = 26}) == StoreEra(4));
-  eras.begin_life_after(StoreEra(4));
+  eras.begin_era_after(StoreEra(4));
   CHECK(eras.on_answer(eras.on_send(), {.era = StoreEra(4), .revision = 28}) == StoreEra(5));
   CHECK(eras.on_answer(eras.on_send(), {.era = StoreEra(6), .revision = 3}) == StoreEra(6));
 }
--- a/src/usage/tests/usage_reporter_test.cc
+++ b/src/usage/tests/usage_reporter_test.cc
@@ -108,7 +108,7 @@
 
   void advance(Duration span) { time.run_until(time.now() + span); }
   void kill(std::size_t node) {
-    nodes[node]->store.cut = true;
+    nodes[node]->store.partitioned = true;
     alive[node] = false;
   }
   void restart(std::size_t node) {
@@ -226,10 +226,10 @@
           world.state.down = !world.state.down;
           break;
         case 5:
-          store.answers_lost = !store.answers_lost;
+          store.drops_answers = !store.drops_answers;
           break;
         default:
-          store.done_late = store.done_late == Duration::zero() ? 3s : Duration::zero();
+          store.execution_delay = store.execution_delay == Duration::zero() ? 3s : Duration::zero();
           break;
       }
       world.advance(*rc::gen::inRange(1, 50) * 100ms);
@@ -244,7 +244,7 @@
 TEST_CASE("what was told stays as it was when the store comes back without it") {
   ReporterFixture world;
   world.advance(9s);
-  const StoreState::Copy copy = world.state.copy();
+  const StoreState::Snapshot copy = world.state.snapshot();
   const std::size_t told = world.sink.told.size();
   while (world.sink.told.size() == told) {
     world.advance(50ms);
@@ -252,7 +252,7 @@
   const WindowNumber last = world.sink.told.rbegin()->first;
   // Another node heard of more runs of that window.
   world.nodes[1]->tally.take({NodeId("late"), 9, {{last, {{kTenant, 5}}}}});
-  world.state.set_back_to(copy);
+  world.state.restore(copy);
   for (const auto& node : world.nodes) {
     node->lease.on_store_set_back();
     node->reporter.on_store_set_back();
