--- a/src/shared_store/era_tracker.cc
+++ b/src/shared_store/era_tracker.cc
@@ -4,22 +4,22 @@
 
 namespace ochrespring::shared_store {
 
-StoreEra EraTracker::on_answer(const Snapshot& sent, const Answer& answer) {
-  StoreEra era = sent.era;
+StoreEra EraTracker::on_answer(const Snapshot& at_send, const Answer& answer) {
+  StoreEra era = at_send.era;
   newest_named_era_ = answer.era.has_value();
   if (answer.era) {
     names_eras_ = true;
     era = std::max(era, *answer.era);
-  } else if (proves_new_era(sent, answer)) {
-    // Another answer may have shown the same already.
-    era = std::max(era_, sent.era.next());
+  } else if (proves_new_era(at_send, answer)) {
+    // Another answer may already have revealed the same new era.
+    era = std::max(era_, at_send.era.next());
   }
   note(era, answer.revision.value_or(0));
   return era;
 }
 
-bool EraTracker::proves_new_era(const Snapshot& sent, const Answer& answer) const {
-  return !names_eras_ && answer.revision && *answer.revision < sent.newest;
+bool EraTracker::proves_new_era(const Snapshot& at_send, const Answer& answer) const {
+  return !names_eras_ && answer.revision && *answer.revision < at_send.newest;
 }
 
 void EraTracker::note(StoreEra era, std::uint64_t revision) {
--- a/src/shared_store/errc.h
+++ b/src/shared_store/errc.h
@@ -1,4 +1,4 @@
-// Errors of calls to the shared store.
+// Error codes of calls to the shared store.
 #pragma once
 
 #include <functional>
@@ -8,18 +8,18 @@
 namespace ochrespring::shared_store {
 
 enum class StoreErrc {
-  kNotDone,             ///< Certainly without effect: no connection, or the store said so.
-  kUnknownEffect,       ///< No answer: it may have been done, or may be done later.
-  kRateLimited,         ///< Refused for the rate of calls: without effect.
-  kHistoryUnavailable,  ///< A watch asked for changes that are no longer kept: list again.
+  kNotDone,             ///< Certainly not executed: no connection, or the store said so.
+  kUnknownEffect,       ///< No answer: the call may have been executed, or may be executed later.
+  kRateLimited,         ///< Rejected by rate limiting; not executed.
+  kHistoryUnavailable,  ///< The requested changes are no longer kept; a full listing is needed.
   kNotFound,            ///< No such key or lease.
-  kConflict,            ///< A condition did not hold: without effect.
-  kMalformed,           ///< The answer could not be understood: as if there had been none.
+  kConflict,            ///< A condition of the transaction did not hold; not executed.
+  kMalformed,           ///< The answer could not be parsed; to be treated like a missing answer.
 };
 
 using StoreError = LayerError<StoreErrc>;
 
-/// Completion of a call; runs once, on the caller's loop, never inside the call.
+/// Completion callback of a call. Runs exactly once, on the caller's loop, never inside the call.
 template <class T>
 using StoreCallback = std::function<void(Result<T, StoreError>)>;
 
--- a/src/shared_store/history_span.h
+++ b/src/shared_store/history_span.h
@@ -1,4 +1,4 @@
-// A stretch of the store's history, told by a digest of the changes in it.
+// A range of the store's history, identified by a digest of its changes.
 #pragma once
 
 #include <cstdint>
@@ -9,13 +9,14 @@
 
 namespace ochrespring::shared_store {
 
-/// A StorePosition names one change, and a store that comes back from an older copy may make just
-/// that one again. A span covers all changes of a look: the store repeats it only if it makes each
-/// of them again under its number, and then nothing is lost.
+/// A StorePosition identifies a single change, which a store restored from an older copy may happen
+/// to repeat. A span covers all changes found by one poll: the store matches it only if every
+/// change was made again at the same revision, and in that case nothing is lost.
 struct HistorySpan {
-  StoreRevision after;       ///< Exclusive.
-  StoreRevision through;     ///< Of the newest change covered.
-  std::uint64_t digest = 0;  ///< Of the positions of all changes covered, in any order.
+  StoreRevision after;    ///< Exclusive.
+  StoreRevision through;  ///< Revision of the newest change covered.
+  /// Of the positions of all covered changes, independent of their order.
+  std::uint64_t digest = 0;
 
   bool operator==(const HistorySpan&) const = default;
 
@@ -28,11 +29,13 @@
   }
 };
 
-/// All changes after `after`, as the store has told them; none of none.
+/// Returns the span of all changes after `after`, as reported by the store; nullopt if there are
+/// none.
 std::optional<HistorySpan> make_span(StoreRevision after, const std::vector<Change>& changes);
 
-/// Compares the span with all changes after `span.after` or an earlier revision, as the store tells
-/// them now. kUnknown if it tells nothing as new as the span's end.
+/// Compares the span with the store's current changes, which must include all changes after
+/// `span.after` or an earlier revision. Returns kUnknown if none of them is as new as the end of
+/// the span.
 PositionCheck check_span(const HistorySpan& span, const std::vector<Change>& changes);
 
 }  // namespace ochrespring::shared_store
--- a/src/shared_store/store.h
+++ b/src/shared_store/store.h
@@ -1,6 +1,7 @@
-// The store that all nodes share: the only thing that outlasts a process. One revision counts every
-// change; keys bound to a lease go with it. It may come back from a copy that is some seconds old:
-// what was written since is lost then, leases too, and another life begins (StoreEra).
+// The key-value store shared by all nodes, the only state that outlives a process. A single
+// revision counter numbers all changes; keys bound to a lease are removed when the lease ends. The
+// store may be restored from a copy that is some seconds old. Later writes and leases are lost
+// then, and a new era begins (StoreEra).
 #pragma once
 
 #include <cstdint>
@@ -17,7 +18,7 @@
 
 using LeaseId = StrongNumber<struct StoreLeaseIdTag>;
 
-/// A key as it was written, or, without a value, its end.
+/// The state of a key after a change; without a value, the key was removed.
 struct Change {
   std::string key;
   std::optional<std::string> value;
@@ -25,29 +26,30 @@
 };
 
 struct Listing {
-  std::vector<Change> items;  ///< All with a value.
-  StoreRevision revision;     ///< The store's when the listing began.
+  std::vector<Change> items;  ///< All items have a value.
+  StoreRevision revision;     ///< The store's revision when the listing began.
 };
 
-/// Which keys are asked for: those that begin with `prefix`, behind `after`.
+/// Selects the keys that begin with `prefix` and sort after `after`.
 struct PageRequest {
   std::string prefix;
-  std::string after;  ///< Empty: from the first one on.
+  std::string after;  ///< Empty: starts at the first key.
 };
 
-/// Some of the keys that were asked for, in their order, as they are now. Pages are no snapshot:
-/// what changes between two of them is in the later one.
+/// A part of the selected keys, in order, with their current values. Pages do not form a snapshot:
+/// a change made between two page reads is visible in the later page.
 struct ListPage {
-  std::vector<Change> items;  ///< All with a value.
-  bool more = false;          ///< Others follow behind the last one.
-  StoreRevision revision;     ///< The store's when the page was read.
+  std::vector<Change> items;  ///< All items have a value.
+  bool more = false;          ///< More keys follow the last one.
+  StoreRevision revision;     ///< The store's revision when the page was read.
 };
 
 struct Changes {
-  std::vector<Change> changes;  ///< In the order of their revisions.
+  std::vector<Change> changes;  ///< In order of revision.
 };
 
-/// What a transaction depends on: the key's last change, zero if it is to be absent.
+/// A precondition of a transaction: the revision of the key's last change, or zero if the key must
+/// not exist.
 struct Condition {
   std::string key;
   StoreRevision revision;
@@ -60,47 +62,49 @@
   std::optional<LeaseId> lease;
 };
 
-/// Done whole, if all conditions hold, or not at all.
+/// Executed completely if all conditions hold, otherwise not at all.
 struct Transaction {
   std::vector<Condition> conditions;
   std::vector<Write> writes;
   std::vector<std::string> removals;
 };
 
-/// Asynchronous; one per loop. Each call is bounded in time by the implementation.
+/// Asynchronous client of the shared store; one instance per event loop. The implementation bounds
+/// the time of each call.
 class SharedStore {
  public:
   virtual ~SharedStore() = default;
-  /// All keys that begin with `prefix`, as they are now.
+  /// Lists all keys that begin with `prefix`, with their current values.
   virtual void list(const std::string& prefix, StoreCallback<Listing> done) = 0;
-  /// One page of keys.
+  /// Reads one page of keys.
   virtual void list_page(const PageRequest& request, StoreCallback<ListPage> done) = 0;
-  /// Changes after `after`, as soon as there are any, or none after `wait`. kHistoryUnavailable if
-  /// they cannot be told any more, or if the store has begun another life since.
+  /// Returns the changes after `after` as soon as there are any, or an empty list after `wait`.
+  /// Fails with kHistoryUnavailable if the store no longer keeps them or has begun a new era since.
   virtual void changes(const std::string& prefix, StoreRevision after, Duration wait,
                        StoreCallback<Changes> done) = 0;
   /// Writes a key, bound to a lease if one is given.
   virtual void put(const std::string& key, const std::string& value, std::optional<LeaseId> lease,
                    StoreCallback<StoreRevision> done) = 0;
-  /// The revision of its writes; kConflict if a condition did not hold, kNotFound if a lease is
-  /// over.
+  /// Executes a transaction and returns the revision of its writes. Fails with kConflict if a
+  /// condition does not hold, and with kNotFound if a lease has ended.
   virtual void commit(const Transaction& transaction, StoreCallback<StoreRevision> done) = 0;
-  /// A key as it is now; kNotFound if it is absent.
+  /// Returns the current value of a key; fails with kNotFound if the key does not exist.
   virtual void get(const std::string& key, StoreCallback<Change> done) = 0;
   virtual void grant_lease(Duration time_to_live, StoreCallback<LeaseId> done) = 0;
-  /// kNotFound if the lease is over.
+  /// Fails with kNotFound if the lease has ended.
   virtual void renew_lease(LeaseId lease, StoreCallback<LeaseId> done) = 0;
   virtual void end_lease(LeaseId lease, StoreCallback<LeaseId> done) = 0;
-  /// Another node has seen the store at `revision`: answers to calls that leave from now on are of
-  /// that life or a later one.
+  /// Informs the client that another node has seen the store at `revision`: answers to calls sent
+  /// from now on belong to that era or a later one.
   virtual void observe_revision(StoreRevision /*revision*/) {}
-  /// The store has turned out to have begun another life after `ended`, though its answers did not
-  /// say so: those to calls that leave from now on are of the next one. For a store that names its
-  /// lives there is nothing to do.
+  /// Informs the client that the store has begun a new era after `ended` although its answers did
+  /// not say so: answers to calls sent from now on belong to the next era. Does nothing for a store
+  /// that names its eras.
   virtual void begin_era_after(StoreEra /*ended*/) {}
-  /// Whether the newest answer named its life: what the store has told since is of that life then.
+  /// Returns whether the newest answer named its era, which assigns everything reported since to
+  /// that era.
   virtual bool names_era() const { return false; }
-  /// The newest life of the store that is known of; none before the first answer.
+  /// Returns the newest known era of the store; nullopt before the first answer.
   virtual std::optional<StoreEra> era() const { return StoreEra(); }
 };
 
--- a/src/shared_store/store_position.h
+++ b/src/shared_store/store_position.h
@@ -1,4 +1,5 @@
-// A place in the store's history, told by the change that stands there and not by its number alone.
+// A position in the store's history, identified by the change at a revision and not by the revision
+// alone.
 #pragma once
 
 #include <cstdint>
@@ -9,16 +10,16 @@
 
 namespace ochrespring::shared_store {
 
-/// A store that comes back from an older copy gives numbers out again. One that names no era can be
-/// told apart from one that went on only by what it holds at a number: within one life each number
-/// stands for the same change for ever.
+/// A store restored from an older copy assigns the same revisions again. If it names no era, only
+/// the change at a known revision tells whether it was restored, because within one era each
+/// revision always stands for the same change.
 struct StorePosition {
   StoreRevision revision;
-  std::uint64_t change_hash = 0;  ///< Hash of the key and its value, or its end.
+  std::uint64_t change_hash = 0;  ///< Hash of the key and its value, or of the removal.
 
   bool operator==(const StorePosition&) const = default;
 
-  /// From here a look is told the change that stands at the position, too.
+  /// Returns the revision to poll from so that the answer includes the change at this position.
   StoreRevision before() const { return StoreRevision(revision.value() - 1, revision.era()); }
 
   /// Boost.Serialization hook.
@@ -29,19 +30,21 @@
   }
 };
 
-/// Where a change stands; its revision is not zero.
+/// Returns the position of a change, whose revision must not be zero.
 StorePosition position_of(const Change& change);
 
-/// Where the newest of some changes stands; none of none, or where several stand at one number.
+/// Returns the position of the newest change; nullopt if there is none or several share that
+/// revision.
 std::optional<StorePosition> newest_position(const std::vector<Change>& changes);
 
 enum class PositionCheck : std::uint8_t {
-  kSame,       ///< The change stands there.
-  kDifferent,  ///< Another one does: the store has begun another life.
-  kUnknown,    ///< Nothing is told of that number.
+  kSame,       ///< The store holds the same change at that revision.
+  kDifferent,  ///< The store holds a different change there: a new era has begun.
+  kUnknown,    ///< The answer contains no change with that revision.
 };
 
-/// Looks for the position among all changes after `position.before()`, which the store has told.
+/// Searches for the position in `changes`, which must include all changes after
+/// `position.before()`.
 PositionCheck check_position(const StorePosition& position, const std::vector<Change>& changes);
 
 }  // namespace ochrespring::shared_store
--- a/src/shared_store/store_revision.h
+++ b/src/shared_store/store_revision.h
@@ -1,4 +1,4 @@
-// Where a change stands in the life of the shared store.
+// The revision of a change, qualified by the store era in which it was made.
 #pragma once
 
 #include <compare>
@@ -9,16 +9,17 @@
 
 namespace ochrespring::shared_store {
 
-/// Counts the lives of the store: it rises each time the store comes back from an older copy.
+/// Numbers the eras of the store. It increases each time the store is restored from an older copy.
 using StoreEra = StrongNumber<struct StoreEraTag>;
 
-/// One number counts every change of the store, but only within one life: a store that comes back
-/// from an older copy gives numbers out again. So the life comes first in the order: a lower number
-/// of a newer life is newer.
+/// A counter over all changes of the store that is unique only within one era: a store restored
+/// from an older copy assigns numbers again. Revisions are therefore ordered by era first, so a
+/// lower number of a newer era is newer:
 ///
 ///     StoreRevision(26) < StoreRevision(24, StoreEra(1))
 ///
-/// Zero of the first life is before every change; as a condition it means an absent key.
+/// Zero of the first era precedes every change; as a condition it requires that the key does not
+/// exist.
 class StoreRevision {
  public:
   constexpr StoreRevision() = default;
@@ -26,7 +27,7 @@
       : era_(era), number_(number) {}
 
   constexpr StoreEra era() const { return era_; }
-  /// Within its life; says nothing beside a number of another one.
+  /// The number within the era; not comparable with numbers of other eras.
   constexpr std::uint64_t value() const { return number_; }
   constexpr StoreRevision next() const { return StoreRevision(number_ + 1, era_); }
 
--- a/src/shared_store/tests/history_span_test.cc
+++ b/src/shared_store/tests/history_span_test.cc
@@ -1,4 +1,5 @@
-// A store that has lost changes and made the newest one again is told by the others of its span.
+// Guards against a store that was restored from an older copy and repeated only the newest change:
+// the digest of a whole span reveals the lost changes before it.
 #include "shared_store/history_span.h"
 
 #include <doctest/doctest.h>
@@ -22,7 +23,7 @@
 
 }  // namespace
 
-TEST_CASE("a span covers what stands behind its beginning, up to the newest change") {
+TEST_CASE("a span covers the changes after its start up to the newest one") {
   CHECK_FALSE(make_span(StoreRevision(5), {}));
   CHECK_FALSE(make_span(StoreRevision(9), kChanges));
   const auto span = make_span(StoreRevision(6), kChanges);
@@ -34,7 +35,7 @@
   CHECK(wire::decode<HistorySpan>(wire::encode(*span)).value() == *span);
 }
 
-TEST_CASE("a change before the newest that was lost or replaced shows another life") {
+TEST_CASE("a lost or replaced change before the newest one reveals a new era") {
   const HistorySpan span = *make_span(StoreRevision(5), kChanges);
   CHECK(check_span(span, kChanges) == PositionCheck::kSame);
   CHECK(check_span(span, {change_at(4, "z", "1"), kChanges[0], kChanges[1], kChanges[2],
@@ -45,13 +46,13 @@
   CHECK(check_span(span, {change_at(10, "z", "2")}) == PositionCheck::kDifferent);
 }
 
-TEST_CASE("a store that tells nothing as new as the span's end proves nothing") {
+TEST_CASE("changes that do not reach the end of the span are inconclusive") {
   const HistorySpan span = *make_span(StoreRevision(5), kChanges);
   CHECK(check_span(span, {}) == PositionCheck::kUnknown);
   CHECK(check_span(span, {kChanges[0], kChanges[1]}) == PositionCheck::kUnknown);
 }
 
-TEST_CASE("the order in which changes of one number are told makes no difference") {
+TEST_CASE("the digest does not depend on the order of changes") {
   CHECK(rc::check([](const std::vector<std::uint8_t>& keys) {
     std::vector<Change> changes;
     for (const std::uint8_t key : keys) {
--- a/src/shared_store/tests/memory_store.h
+++ b/src/shared_store/tests/memory_store.h
@@ -1,4 +1,4 @@
-// A store in memory under virtual time, with leases and the faults of a real one.
+// An in-memory store under virtual time, with leases and injectable faults.
 #pragma once
 
 #include <algorithm>
@@ -15,7 +15,7 @@
 
 namespace ochrespring::shared_store::testing {
 
-/// What all clients see.
+/// The contents shared by all clients.
 class StoreState {
  public:
   explicit StoreState(simulation::VirtualTime& time) : time_(time) {}
@@ -84,10 +84,10 @@
     }
   }
 
-  /// What the store would be set back to.
+  /// A copy from which the store can be restored.
   struct Snapshot;
   Snapshot snapshot() const;
-  /// Comes back as it was when the copy was made; leases of before run on from now.
+  /// Restores the contents of the snapshot; its leases start running again from now.
   void restore(const Snapshot& snapshot);
   StoreRevision now() const { return StoreRevision(revision, era); }
 
@@ -96,7 +96,7 @@
     Duration time_to_live;
   };
   std::map<std::string, Change> items;
-  std::vector<Change> history;  ///< In the order of revisions.
+  std::vector<Change> history;  ///< In order of revision.
   std::map<std::string, LeaseId> bound;
   std::map<LeaseId, Lease> leases;
   StoreEra era;
@@ -137,17 +137,18 @@
   }
 }
 
-/// The store as one node reaches it.
+/// The client of one node.
 class MemoryStore final : public SharedStore {
  public:
-  /// Answers come by the timers of the node: a frozen one gets them when it wakes.
+  /// Answers are delivered by the timers of the node: a suspended node receives them when it
+  /// resumes.
   MemoryStore(simulation::VirtualTime& time, StoreState& state, TimerService& node)
       : time_(time), state_(state), node_(node) {}
 
-  bool refuses_calls = false;  ///< It answers others.
+  bool refuses_calls = false;  ///< The store still answers other clients.
   bool partitioned = false;    ///< Calls are lost.
-  bool drops_answers = false;  ///< Calls are done and not answered.
-  /// Calls are not answered, and done only after this time.
+  bool drops_answers = false;  ///< Calls are executed but not answered.
+  /// Calls are executed after this delay and not answered.
   Duration execution_delay{};
   std::uint64_t calls = 0;
 
--- a/src/shared_store/tests/store_position_test.cc
+++ b/src/shared_store/tests/store_position_test.cc
@@ -1,4 +1,5 @@
-// Two lives of a store that gives the same numbers out are told apart by what stands there.
+// Two eras in which the same revisions were assigned are distinguished by the changes at those
+// revisions.
 #include "shared_store/store_position.h"
 
 #include <doctest/doctest.h>
@@ -16,7 +17,7 @@
 
 }  // namespace
 
-TEST_CASE("a change is the same one only with its key, its value and its number") {
+TEST_CASE("positions are equal only if key, value and revision are equal") {
   const StorePosition position = position_of(change_at(7, "k", "v"));
   CHECK(position == position_of(change_at(7, "k", "v")));
   CHECK(position != position_of(change_at(8, "k", "v")));
@@ -28,7 +29,7 @@
   CHECK(wire::decode<StorePosition>(wire::encode(position)).value() == position);
 }
 
-TEST_CASE("the newest position is that of one change, not of several made at once") {
+TEST_CASE("no newest position is returned if several changes share the newest revision") {
   CHECK_FALSE(newest_position({}));
   const Change first = change_at(7, "a", "1");
   const Change last = change_at(9, "b", "1");
@@ -37,11 +38,11 @@
   CHECK_FALSE(newest_position({first, last, change_at(9, "c", "1")}));
 }
 
-TEST_CASE("what stands at a number proves the same life, another one, or nothing") {
+TEST_CASE("the change at a revision shows the same era, a new one, or is inconclusive") {
   const StorePosition position = position_of(change_at(7, "k", "v"));
   CHECK(check_position(position, {change_at(7, "k", "v"), change_at(8, "k", "w")}) ==
         PositionCheck::kSame);
-  // Of a transaction that changed several keys at once.
+  // Part of a transaction that changed several keys at one revision.
   CHECK(check_position(position, {change_at(7, "a", "1"), change_at(7, "k", "v")}) ==
         PositionCheck::kSame);
   CHECK(check_position(position, {change_at(7, "k", "w")}) == PositionCheck::kDifferent);
