--- a/src/discovery/era_check.h
+++ b/src/discovery/era_check.h
@@ -1,4 +1,4 @@
-// Whether the store that answers is in the era_check that a view is of.
+// Checks whether the store that answers is still in the era of the view.
 #pragma once
 
 #include <optional>
@@ -9,33 +9,36 @@
 
 namespace ochrespring::discovery {
 
-/// A store may come back from an older copy without saying so, and will have been out before. After
-/// a look that failed the position_at that was known then is asked for, although other nodes, which
-/// may know no position_at to ask for, have told of newer changes since. Pure; one loop.
+/// A store may be restored from an older copy without announcing it, and is unreachable before.
+/// After a failed poll, the position known at that time is therefore verified, even if other nodes
+/// have reported newer changes since: they may know no position to verify. Performs no I/O; used on
+/// one event loop.
 class EraCheck {
  public:
   using Position = std::optional<shared_store::StorePosition>;
 
-  /// A look got no answer; `known` is where the view stood.
+  /// Records a poll without an answer; `known` is the position of the view.
   void note_failed(MonotonicTime now, const Position& known);
-  /// Another node knows another change at `known`.
+  /// Records that another node knows a different change at `known`.
   void note_conflict(MonotonicTime now, const Position& known);
-  /// The view has been known to be the store's at some time.
+  /// Records that the view matched the store at `at`.
   void note_current(MonotonicTime at);
-  /// Where the next look is to begin; none: the position_at is not known. `newest`: where the view,
-  /// which is of `era`, stands.
+  /// Returns the position from which the next poll should start; nullopt if it is not known.
+  /// `newest` is the position of the view, `era` its era.
   Position position_to_verify(const Position& newest, shared_store::StoreEra era);
-  /// What the store has told after `asked.before()`, or, where nothing was asked for, at all.
+  /// Checks `changes`, which must include all changes after `asked.before()` if a position was
+  /// requested.
   shared_store::PositionCheck check(const Position& asked,
                                     const std::vector<shared_store::Change>& changes);
-  /// The store tells the position_at no more.
+  /// The store no longer keeps the change at the position.
   void forget_position() { position_at_failure_.reset(); }
-  /// A look failed, and the view has not been known to be the store's since.
+  /// Returns whether a poll has failed and the view has not been known to match the store since.
   bool is_pending() const { return failed_at_.has_value(); }
 
  private:
   std::optional<MonotonicTime> failed_at_;
-  Position position_at_failure_;  ///< What was known when a look failed, until one is answered.
+  /// Position when a poll first failed; reset when a poll is answered.
+  Position position_at_failure_;
 };
 
 }  // namespace ochrespring::discovery
--- a/src/discovery/fleet_watcher.cc
+++ b/src/discovery/fleet_watcher.cc
@@ -8,16 +8,17 @@
 namespace {
 
 constexpr std::string_view kComponent = "discovery";
-/// Every key of the store: one call tells of configuration, back ends and nodes.
+/// Matches every key of the store, so that one call returns configuration, back ends and nodes.
 const std::string kEverything;
 
-/// A listing is cut into ranges of about so many back ends, so that a small one stays one range...
+/// A listing is split into ranges of about this many back ends; a small one stays a single range.
 constexpr std::size_t kBackendsPerRange = 1'000;
-/// ...and into no more than this: of 20,000 back ends 13 pages of 200 come one after the other
-/// then, and a reader's connections to the store stay few.
+/// Limits the connections of a reader to the store. With 20,000 back ends, a range has 13
+/// sequential pages of 200 keys.
 constexpr std::size_t kMaxRanges = 8;
-/// Looks in a row that a follower leaves to the readers before it lists the store itself: by then
-/// two seconds have passed, and the readers have either told or died.
+/// Number of consecutive polls without history that a follower leaves to the readers before it
+/// lists the store itself. Two seconds have passed by then, in which the readers have either
+/// announced their listing or terminated.
 constexpr std::uint32_t kPollsLeftToReaders = 4;
 
 }  // namespace
@@ -59,7 +60,8 @@
   }
   const bool failing = !polling_ && failed_in_row_ != 0;
   if (failing || poll_is_slow_) {
-    // The next try is due soon, or under way; one for each request that asks would be a storm.
+    // The next attempt is due soon or already running. One attempt per request would overload the
+    // store.
     done(false);
     return;
   }
@@ -90,7 +92,8 @@
   }
 }
 
-/// A page holds all that a small fleet has. In a large one it names nodes to ask for the rest.
+/// A single page holds the whole of a small fleet. In a large fleet it names nodes that can be
+/// asked for the rest.
 void FleetWatcher::poll_without_view() {
   ++statistics_.listings;
   deps_.store.list_page({.prefix = kEverything, .after = {}}, [this](auto page) {
@@ -99,7 +102,7 @@
     } else if (!page.value().more) {
       handle_listing(shared_store::Listing{std::move(page.value().items), page.value().revision});
     } else if (writer_.seen_revision()) {
-      // Another node's view has come meanwhile.
+      // Another node's view has been received meanwhile.
       poll_changes();
     } else {
       find_peers(std::move(page.value()));
@@ -117,7 +120,7 @@
   const std::string& prefix = deps_.codec.layout().node_prefix;
   deps_.store.list_page({.prefix = prefix, .after = {}}, [this](auto page) {
     if (!first_page_) {
-      // Another node's view has come meanwhile.
+      // Another node's view has been received meanwhile.
       return;
     }
     if (page) {
@@ -168,13 +171,13 @@
   finish_poll(PollResult::kCurrent, poll_started_at_, "listed");
 }
 
-/// A listing that was not taken says nothing of the view: the poll has failed, though the store
-/// answers, and the configuration has no time to wait for the next one.
+/// A skipped listing does not bring the view up to date: the poll counts as failed although the
+/// store answers. The configuration is read by itself, because it cannot wait for the next listing.
 void FleetWatcher::skip_listing(shared_store::StoreRevision listed) {
   ++statistics_.listings_skipped;
   deps_.logger.write({logging::Level::kWarning,
                       kComponent,
-                      "listing older than the view",
+                      "listing is older than the view; skipped",
                       {{"era", listed.era().value()},
                        {"listed", listed.value()},
                        {"seen_era", writer_.seen_revision()->era().value()},
@@ -183,7 +186,8 @@
   finish_poll(PollResult::kStale, poll_started_at_, "");
 }
 
-/// What a reader tells is enough unless the reader has not heard of the store for long itself.
+/// The reader's view is sufficient unless the reader itself has not been in contact with the store
+/// for too long.
 void FleetWatcher::poll_reader(const Endpoint& reader) {
   fetcher_.fetch_now(reader, [this](const std::optional<ViewTransfer>& transfer) {
     if (!transfer || !apply_transfer(*transfer, poll_started_at_)) {
@@ -192,7 +196,7 @@
     }
     const Duration age = age_of(*transfer);
     if (age < settings_.follower_period) {
-      finish_poll(PollResult::kCurrent, poll_started_at_ - age, "told by a reader");
+      finish_poll(PollResult::kCurrent, poll_started_at_ - age, "answered by a reader");
     } else {
       poll_changes();
     }
@@ -212,7 +216,7 @@
     } else if (result.error().code != shared_store::StoreErrc::kHistoryUnavailable) {
       finish_poll(PollResult::kStoreUnreachable, poll_started_at_, result.error().message);
     } else if (known && !may_be_another_era()) {
-      // Nothing has changed for longer than history is kept, or it was dropped early.
+      // Nothing has changed for longer than history is kept, or history was dropped early.
       forget_position();
       request_changes(std::nullopt);
     } else {
@@ -229,7 +233,7 @@
 void FleetWatcher::handle_changes(const std::optional<shared_store::StorePosition>& known,
                                   shared_store::StoreRevision after,
                                   const shared_store::Changes& changes) {
-  const bool unsure = may_be_another_era();
+  const bool era_uncertain = may_be_another_era();
   const shared_store::PositionCheck newest = era_check_.check(known, changes.changes);
   history_.trim(deps_.clock.now(), *writer_.seen_revision());
   if (newest == shared_store::PositionCheck::kDifferent ||
@@ -238,14 +242,15 @@
     return;
   }
   const auto begin = history_.begin();
-  if (unsure && newest == shared_store::PositionCheck::kSame && begin && *begin < after) {
+  if (era_uncertain && newest == shared_store::PositionCheck::kSame && begin && *begin < after) {
     verify_history(*begin);
     return;
   }
   apply_verified_changes(after, changes);
 }
 
-/// A store that has counted on may hold just the newest change again behind others than before.
+/// A restored store that has passed the known revision may hold the same newest change while
+/// earlier changes differ.
 void FleetWatcher::verify_history(shared_store::StoreRevision begin) {
   deps_.store.changes(kEverything, begin, Duration::zero(), [this, begin](auto result) {
     if (result) {
@@ -265,7 +270,7 @@
 void FleetWatcher::apply_verified_changes(shared_store::StoreRevision after,
                                           const shared_store::Changes& changes) {
   if (listing_required_ || may_be_another_era()) {
-    // The view lacks something, or nothing tells whether it does.
+    // The view is known to be wrong, or nothing shows whether the store has begun a new era.
     list_all();
     return;
   }
@@ -275,8 +280,8 @@
   finish_poll(PollResult::kCurrent, poll_started_at_, "");
 }
 
-/// An answer without new changes covers nothing that an earlier span does not, and a store that
-/// names its era is known by that.
+/// An answer without new changes covers nothing beyond an earlier span. A store that names its era
+/// needs no spans.
 void FleetWatcher::record_history(shared_store::StoreRevision after,
                                   const shared_store::Changes& changes) {
   polled_span_ = shared_store::make_span(after, changes.changes);
@@ -288,25 +293,27 @@
   }
 }
 
-/// The store has come back from an older copy and counted past what was known, without saying so.
+/// The store was restored from an older copy and has passed the known revision without announcing a
+/// new era.
 void FleetWatcher::begin_era() {
   const shared_store::StoreRevision seen = *writer_.seen_revision();
   ++statistics_.unannounced_eras;
   deps_.logger.write({logging::Level::kWarning,
                       kComponent,
-                      "store holds another change than was known",
+                      "store was restored from an older copy without announcing a new era",
                       {{"era", seen.era().value()}, {"revision", seen.value()}}});
   deps_.store.begin_era_after(seen.era());
   list_all();
 }
 
-/// The store has forgotten what came after the view: only a listing tells what is there now. The
-/// readers of a large fleet list it for all; the configuration has no time to wait for that.
+/// The changes after the view are no longer kept, so only a listing shows the current state. In a
+/// large fleet the readers list for all nodes; the configuration is read by itself, because it
+/// cannot wait for that.
 void FleetWatcher::handle_unavailable_history() {
   ++statistics_.histories_unavailable;
   deps_.logger.write({logging::Level::kWarning,
                       kComponent,
-                      "store has forgotten its history",
+                      "store no longer keeps the requested history",
                       {{"seen", writer_.seen_revision()->value()}}});
   const bool follows = reading_assignment().role == ReadingRole::kFollower;
   if (follows) {
@@ -321,8 +328,8 @@
   }
 }
 
-/// After a restore many followers poll before a reader has told them of it, and need nothing more
-/// once it has.
+/// After a restore, many followers poll before a reader's announcement reaches them and do not need
+/// the configuration any more once it has.
 void FleetWatcher::read_configuration_later() {
   if (!configuration_timer_.armed()) {
     configuration_timer_.arm(settings_.fetch_spread + deps_.random.part_of(settings_.relist_spread),
@@ -336,7 +343,7 @@
                     if (!item) {
                       deps_.logger.write({logging::Level::kWarning,
                                           kComponent,
-                                          "configuration not read",
+                                          "failed to read the configuration",
                                           {{"reason", item.error().message}}});
                       return;
                     }
@@ -345,13 +352,15 @@
                   });
 }
 
-/// Many nodes may poll at once when they could not take another's news; told by all of them it
-/// would fill the links.
+/// Many nodes may poll at once if none of them could apply another's update. If all of them
+/// broadcast their results, they would saturate the links.
 void FleetWatcher::broadcast_poll() {
-  const Duration pace = reading_assignment().role == ReadingRole::kReader ? settings_.reader_period
-                                                                          : settings_.period;
-  const bool heard = update_received_at_ && deps_.clock.now() - *update_received_at_ < pace / 2;
-  if (!broadcast_update_ || heard) {
+  const Duration period = reading_assignment().role == ReadingRole::kReader
+                              ? settings_.reader_period
+                              : settings_.period;
+  const bool recently_updated =
+      update_received_at_ && deps_.clock.now() - *update_received_at_ < period / 2;
+  if (!broadcast_update_ || recently_updated) {
     return;
   }
   for (const ViewUpdate& update : writer_.make_updates(deps_.clock.now() - poll_started_at_)) {
@@ -360,7 +369,7 @@
   broadcast_position();
 }
 
-/// Once for each place: one that is lost costs a listing at worst.
+/// Each position is sent once; losing it costs a listing at most.
 void FleetWatcher::broadcast_position() {
   const auto known = writer_.position();
   if (broadcast_position_ && known && known != last_position_) {
@@ -372,8 +381,8 @@
   }
 }
 
-/// Where two nodes know different changes at one place one of them has seen another life of the
-/// store: a poll finds out which.
+/// If two nodes know different changes at one position, one of them has seen another era of the
+/// store. A poll determines which.
 void FleetWatcher::receive_position(const PositionReport& report) {
   last_position_ = report.position;
   if (writer_.record_position(report.position)) {
@@ -413,17 +422,18 @@
       if (update.is_last()) {
         note_current(deps_.clock.now() - update.age);
       } else {
-        // More changes are on their way: as of now the view is no newer than before.
+        // More changes follow, so the view is not known to be current yet.
         notify_covered();
       }
       return;
   }
 }
 
-/// A follower takes the other's view for the right one: all of a large fleet may differ at once,
-/// and the readers, who list, find out whose it is.
+/// A follower adopts the other node's view: in a large fleet all nodes may differ at once, and the
+/// readers find out by a listing which view is right.
 void FleetWatcher::invalidate_view(const Endpoint& holder) {
-  deps_.logger.write({logging::Level::kWarning, kComponent, "view differs from a peer's", {}});
+  deps_.logger.write(
+      {logging::Level::kWarning, kComponent, "view differs from that of a peer", {}});
   writer_.invalidate();
   const bool follows = reading_assignment().role == ReadingRole::kFollower;
   if (follows && fetch_view_callback_) {
@@ -455,8 +465,8 @@
     timer_.arm(failed_poll_delay(settings_, failed_in_row_, nodes_.count(), deps_.random.unit()),
                [this] { poll(); });
   }
-  // A poll that began long ago says nothing of now: the node was held up meanwhile, and is quicker
-  // the second time, or the store is slow.
+  // A poll that started long ago says nothing about the present. Either this node was suspended
+  // meanwhile and a second poll is quicker, or the store is slow.
   const bool too_old = now - as_of >= settings_.max_refresh_age;
   if (success && too_old && !refresh_waiters_.empty() && !std::exchange(polled_again_, true)) {
     timer_.disarm();
@@ -465,7 +475,7 @@
   }
   polled_again_ = false;
   if (result == PollResult::kStale) {
-    // The configuration is being read alone, and that answers them.
+    // read_configuration() is running and completes the waiting refreshes.
     return;
   }
   refresh_waiters_.complete(success && !too_old);
@@ -477,14 +487,14 @@
   }
   deps_.logger.write({logging::Level::kWarning,
                       kComponent,
-                      reachable ? "store regained" : "store lost",
+                      reachable ? "store reachable again" : "store unreachable",
                       {{"detail", std::string(detail)}}});
   if (store_state_callback_) {
     store_state_callback_(reachable);
   }
 }
 
-/// A transfer's age counts from when it was requested_at for: the answer may have waited.
+/// The age of a transfer counts from its request, because the answer may have been delayed.
 bool FleetWatcher::apply_transfer(const ViewTransfer& transfer, MonotonicTime requested_at) {
   const UpdateOutcome outcome = writer_.apply_transfer(transfer);
   if (outcome == UpdateOutcome::kSkipped) {
@@ -502,7 +512,7 @@
     listing_required_ = false;
     deps_.logger.write({logging::Level::kInfo,
                         kComponent,
-                        "view taken from a peer",
+                        "view received from a peer",
                         {{"revision", snapshot->through.value()},
                          {"age_milliseconds",
                           std::chrono::duration_cast<std::chrono::milliseconds>(age).count()}}});
@@ -510,11 +520,11 @@
     ++statistics_.deltas_taken;
   }
   if (first_page_ || (lister_.running() && !listing_required_)) {
-    // What this node was about to list, or is listing, is known to others.
+    // Other nodes already have what this node was about to list or is listing.
     first_page_.reset();
     lister_.stop();
     timer_.disarm();
-    finish_poll(PollResult::kCurrent, requested_at - age, "told by a peer");
+    finish_poll(PollResult::kCurrent, requested_at - age, "view received from a peer");
     return true;
   }
   note_current(requested_at - age);
@@ -550,7 +560,7 @@
   ++statistics_.eras_begun;
   deps_.logger.write({logging::Level::kWarning,
                       kComponent,
-                      "view is of a new era of the store",
+                      "view belongs to a new store era",
                       {{"era", era.value()}, {"revision", writer_.seen_revision()->value()}}});
   if (new_era_callback_) {
     new_era_callback_();
@@ -577,7 +587,7 @@
   }
 }
 
-/// A configuration that is known to be the newest answers those who ask for no more.
+/// A configuration known to be current completes all waiting refreshes.
 void FleetWatcher::note_configuration_current(MonotonicTime at) {
   if (configuration_current_at_ && at <= *configuration_current_at_) {
     return;
--- a/src/discovery/fleet_watcher.h
+++ b/src/discovery/fleet_watcher.h
@@ -30,38 +30,42 @@
   std::uint64_t polls = 0;
   std::uint64_t failed_polls = 0;
   std::uint64_t listings = 0;
-  std::uint64_t updates_taken = 0;          ///< Of other nodes, each instead of a poll.
-  std::uint64_t updates_skipped = 0;        ///< Began after what this node had seen.
-  std::uint64_t snapshots_taken = 0;        ///< Views taken over whole from another node.
-  std::uint64_t deltas_taken = 0;           ///< What changed, fetched from another node.
-  std::uint64_t updates_outdated = 0;       ///< Of a life of the store that has ended.
-  std::uint64_t updates_mismatched = 0;     ///< Showed that a listing was needed.
-  std::uint64_t histories_unavailable = 0;  ///< Looks that the store had forgotten the history of.
-  std::uint64_t listings_skipped = 0;       ///< Older than the view, by their revision.
-  std::uint64_t eras_begun = 0;        ///< Views that were the first of a later life of the store.
-  std::uint64_t unannounced_eras = 0;  ///< Looks that met another change than was known.
+  /// Updates of other nodes that were applied, each replacing a poll.
+  std::uint64_t updates_taken = 0;
+  std::uint64_t updates_skipped = 0;  ///< Updates that began after the revision this node had seen.
+  std::uint64_t snapshots_taken = 0;  ///< Complete views received from another node.
+  std::uint64_t deltas_taken = 0;     ///< Changes fetched from another node.
+  std::uint64_t updates_outdated = 0;  ///< Updates from a store era that has ended.
+  /// Updates whose fingerprint showed that a listing was needed.
+  std::uint64_t updates_mismatched = 0;
+  /// Polls for which the store no longer kept the history.
+  std::uint64_t histories_unavailable = 0;
+  std::uint64_t listings_skipped = 0;  ///< Listings older than the view, by revision.
+  std::uint64_t eras_begun = 0;        ///< Views that were the first of a later store era.
+  /// Polls that found another change than known at the same revision.
+  std::uint64_t unannounced_eras = 0;
 };
 
-/// Looks now and then for what has changed since the newest change it has seen, instead of holding
-/// a watch open: each change of a back end's heartbeat would end the watch, and each call has its
-/// price. An answer without changes never moves the point from which it goes on, so a store that
-/// keeps changes back for a while is caught up with later; a store that has forgotten them is
-/// listed anew.
+/// Polls the store for changes after the newest one it has seen. It does not hold a watch open,
+/// because every heartbeat of a back end would end the watch and each call is billed. An answer
+/// without changes does not advance the revision to poll from, so changes that the store delivers
+/// late are still found. If the store no longer keeps the changes, it is listed again.
 ///
-/// Nodes share their polls: whoever has looked tells the others, who then put off their own. In a
-/// small fleet each waits a different time, so mostly one node polls for all. In a large one a few
-/// readers poll and list, so that what the store is requested_at does not grow with the fleet: of
-/// 985 nodes that each listed 11,000 keys for themselves, once its history was gone, nobody came to
-/// an end within the bound. No node depends on another: one that hears nothing asks a reader, and
-/// in the end polls itself in time.
+/// Nodes share their polls: a node that has polled broadcasts the result and the others postpone
+/// their own polls. In a small fleet each node waits for a random time, so mostly one node polls
+/// for all. In a large fleet a few readers poll and list, so that the load on the store does not
+/// grow with the fleet: when 985 nodes each listed 11,000 keys after the history had been dropped,
+/// none finished within the staleness bound. No node depends on another: one that receives no
+/// updates asks a reader and, as a last resort, polls the store itself in time.
 ///
-/// A poll asks for the newest change that is known, too: if another one stands in its place, the
-/// store has come back from an older copy and counted on. Where that change is not known, or has
-/// been forgotten, a store that was out meanwhile is listed anew. After a poll that failed all
-/// changes known of the last seconds are requested_at for and compared, unless the store names its
-/// era: one that has counted on may hold just the newest change again.
+/// A poll also requests the newest known change. If the store holds another change at that
+/// revision, it was restored from an older copy and has passed the revision since. If the change is
+/// not known or no longer kept, a store that was unreachable meanwhile is listed again. After a
+/// failed poll, all changes known from the last seconds are requested and compared, unless the
+/// store names its era: a restored store may repeat just the newest change.
 ///
-/// The configuration is small and read alone where the rest takes long. One loop.
+/// The configuration is small and is read by itself where the rest takes long. Used on one event
+/// loop.
 class FleetWatcher {
  public:
   struct Dependencies {
@@ -77,74 +81,81 @@
                NodeDirectory& nodes);
 
   void start();
-  /// Calls back once the configuration is known to be current, or with false if that cannot be
-  /// learnt soon; at once if the store has just not answered, or is being waited for for long.
+  /// Calls back with true once the configuration is known to be current, or with false if that
+  /// cannot be determined soon. Fails immediately if the last poll failed or the running one is
+  /// slow.
   void refresh(std::function<void(bool current)> done);
-  /// Another node has looked. `on_covered`, if given, is called once this node's view is no older
-  /// than the update: at once, after a fetch, or never if a newer update comes before.
+  /// Applies another node's update. `on_covered`, if given, is called once this node's view is at
+  /// least as new as the update: immediately, after a fetch, or never if a newer update arrives
+  /// first.
   void receive_update(const ViewUpdate& update, std::function<void()> on_covered = {});
-  /// Called now and then while this node has no view and the store is slow to give one: asks
-  /// another node for its own.
+  /// Sets the callback that asks another node for its view. It is called repeatedly while this node
+  /// has no view and the store is slow to provide one.
   void on_view_needed(std::function<void(TransferCallback done)> callback) {
     request_peer_view_callback_ = std::move(callback);
   }
-  /// Called to ask a node for its view or for what has changed in it.
+  /// Sets the callback that fetches a view, or the changes to it, from a given node.
   void on_fetch_needed(std::function<void(const ViewRequest&, TransferCallback done)> callback) {
     fetch_view_callback_ = std::move(callback);
   }
-  /// Asked for this node's part in reading; without it the node is an equal.
+  /// Sets the callback that returns this node's part in reading the store. Without it the role is
+  /// kSymmetric.
   void on_reading_assignment(std::function<ReadingAssignment()> callback) {
     reading_assignment_callback_ = std::move(callback);
   }
-  /// For another node that has seen everything up to `after`, or has no view.
+  /// Returns the view for another node that has seen everything up to `after`, or that has no view
+  /// (nullopt).
   std::optional<ViewTransfer> make_transfer(std::optional<shared_store::StoreRevision> after) {
     return writer_.make_transfer(after);
   }
-  /// Called when the store is lost or regained by this node's own polls.
+  /// Sets the callback for changes of whether this node's own polls reach the store.
   void on_store_state(std::function<void(bool reachable)> callback) {
     store_state_callback_ = std::move(callback);
   }
-  /// Called with keys of the store that are not of the fleet's view, as this node's polls find
-  /// them.
+  /// Sets the callback for keys of the store that are not part of the fleet view, as found by this
+  /// node's polls.
   void on_other_key(ViewWriter::OtherKey callback) { writer_.on_other_key(std::move(callback)); }
-  /// Called when this node's first view is its own listing of the store, after on_other_key().
+  /// Sets the callback for the case that this node's first view is its own listing of the store;
+  /// called after on_other_key().
   void on_first_listing(std::function<void()> callback) {
     first_listing_callback_ = std::move(callback);
   }
-  /// Called with what this node's poll found, for the others.
+  /// Sets the callback that broadcasts the result of this node's polls.
   void on_poll(std::function<void(const ViewUpdate&)> callback) {
     broadcast_update_ = std::move(callback);
   }
-  /// Called, behind on_poll(), with the place up to which this node's poll has come.
+  /// Sets the callback that broadcasts the position that a poll has reached; called after
+  /// on_poll().
   void on_position(std::function<void(const PositionReport&)> callback) {
     broadcast_position_ = std::move(callback);
   }
-  /// Another node has told of the place up to which its poll has come.
+  /// Handles the position that another node's poll has reached.
   void receive_position(const PositionReport& report);
-  /// Called, behind on_position(), with the changes that this node's poll has found.
+  /// Sets the callback that broadcasts the span of changes found by a poll; called after
+  /// on_position().
   void on_history(std::function<void(const HistoryReport&)> callback) {
     broadcast_history_ = std::move(callback);
   }
-  /// Another node has told of the changes that its poll has found.
+  /// Handles the span of changes found by another node's poll.
   void receive_history(const HistoryReport& report) {
     history_.note(report.span, deps_.clock.now());
   }
-  /// Called when the view is the first one of a later life of the store: what this node wrote there
-  /// may be lost.
+  /// Sets the callback for the first view of a later store era, in which this node's own writes may
+  /// be lost.
   void on_new_era(std::function<void()> callback) { new_era_callback_ = std::move(callback); }
-  /// Called after each poll that succeeded, and each update taken.
+  /// Sets the callback for each successful poll and each applied update.
   void on_current(std::function<void()> callback) { current_callback_ = std::move(callback); }
-  /// The document as the store holds it; empty: none yet.
+  /// Returns the configuration document as stored; empty if there is none yet.
   const std::string& configuration_in_force() const { return writer_.configuration(); }
   const FleetWatcherStatistics& statistics() const { return statistics_; }
   std::uint64_t rejected_values() const { return writer_.rejected_values(); }
 
  private:
-  /// How a poll ended.
+  /// The result of a poll.
   enum class PollResult : std::uint8_t {
     kCurrent,
     kStale,             ///< The store answers, but the view could not be brought up to date.
-    kStoreUnreachable,  ///< No answer, or not the one that was requested_at for.
+    kStoreUnreachable,  ///< No answer, or an error.
   };
   using ListingResult = Result<shared_store::Listing, shared_store::StoreError>;
 
@@ -162,36 +173,36 @@
   void handle_changes(const std::optional<shared_store::StorePosition>& known,
                       shared_store::StoreRevision after, const shared_store::Changes& changes);
   void verify_history(shared_store::StoreRevision begin);
-  /// `changes`: all after `after`, of the life that the view is of as far as anything tells.
+  /// Applies `changes`, all changes after `after`, which are of the view's era as far as is known.
   void apply_verified_changes(shared_store::StoreRevision after,
                               const shared_store::Changes& changes);
   void record_history(shared_store::StoreRevision after, const shared_store::Changes& changes);
   void begin_era();
   void forget_position();
-  /// Whether nothing tells that the store which answers is the one that the view is of.
+  /// Whether it is unknown if the store that answers is still in the view's era.
   bool may_be_another_era() const { return era_check_.is_pending() && !deps_.store.names_era(); }
   void handle_unavailable_history();
   void read_configuration_later();
   void read_configuration();
-  /// `as_of`: when the store was as the view is now, after a poll that succeeded.
+  /// `as_of`: the time at which the store had the state of the view, if the poll succeeded.
   void finish_poll(PollResult result, MonotonicTime as_of, std::string_view detail);
   void note_store_state(bool reachable, std::string_view detail);
-  /// The view turned out to be wrong; `holder` has another one.
+  /// Handles a view found to be wrong; `holder` has a different one.
   void invalidate_view(const Endpoint& holder);
   void schedule_peer_request();
   void request_peer_view();
-  /// Returns whether another node's view, requested_at for at `requested_at`, was of use.
+  /// Applies a view requested from another node at `requested_at`. Returns whether it was useful.
   bool apply_transfer(const ViewTransfer& transfer, MonotonicTime requested_at);
   ReadingAssignment reading_assignment() const {
     return reading_assignment_callback_ ? reading_assignment_callback_() : ReadingAssignment{};
   }
   void note_era();
-  /// Tells the others what this node's poll found, unless another node has just told them.
+  /// Broadcasts the result of this node's poll unless another node has just done so.
   void broadcast_poll();
   void broadcast_position();
-  /// Calls back whoever waits for the view to cover an update, if it does.
+  /// Calls `on_covered` of the pending update if the view covers it.
   void notify_covered();
-  /// The view is known to be as the store was at `at`.
+  /// Records that the view matches the store as of `at`.
   void note_current(MonotonicTime at);
   void note_configuration_current(MonotonicTime at);
 
@@ -204,32 +215,34 @@
   ViewFetcher fetcher_;
   Timer timer_;
   Timer peer_timer_;
-  Timer configuration_timer_;  ///< Of a follower, before it reads the configuration alone.
+  Timer configuration_timer_;  ///< Delays the separate read of the configuration by followers.
   std::optional<MonotonicTime>
-      update_received_at_;  ///< When another node's poll was last heard of.
-  /// Update that waits to be on_covered, and what is called then.
+      update_received_at_;  ///< When the last update of another node was received.
+  /// An update that the view does not cover yet.
   struct PendingUpdate {
     shared_store::StoreRevision through;
     std::function<void()> on_covered;
   };
   std::optional<PendingUpdate> pending_update_;
   std::optional<MonotonicTime>
-      configuration_current_at_;     ///< When it was last known to be the newest.
-  std::uint32_t failed_in_row_ = 0;  ///< Looks.
+      configuration_current_at_;     ///< When the configuration was last known to be current.
+  std::uint32_t failed_in_row_ = 0;  ///< Consecutive failed polls.
   MonotonicTime poll_started_at_{};
   bool polling_ = false;
-  bool poll_is_slow_ = false;      ///< Somebody has waited for it for as long as anybody does.
-  bool listing_required_ = false;  ///< The view is wrong: the next poll lists.
+  bool poll_is_slow_ = false;      ///< A refresh has timed out waiting for the running poll.
+  bool listing_required_ = false;  ///< The view is wrong; the next poll lists the store.
   EraCheck era_check_;
   KnownHistory history_;
-  std::optional<shared_store::HistorySpan> polled_span_;  ///< By the last poll, until it is told.
-  std::optional<shared_store::StorePosition> last_position_;  ///< The last that was told or heard.
+  /// Found by the last poll and not broadcast yet.
+  std::optional<shared_store::HistorySpan> polled_span_;
+  std::optional<shared_store::StorePosition> last_position_;  ///< The last one sent or received.
   bool requesting_peer_view_ = false;
-  bool polled_again_ = false;  ///< For those waiting, the poll before having taken too long.
-  /// Of the first listing of a large fleet, while others are requested_at for theirs.
+  /// The poll for the waiting refreshes was repeated because it took too long.
+  bool polled_again_ = false;
+  /// First page of a large fleet's listing, kept while other nodes are asked for their view.
   std::optional<shared_store::ListPage> first_page_;
-  std::optional<bool> store_reachable_;        ///< How the last poll ended; none before the first.
-  std::optional<shared_store::StoreEra> era_;  ///< Of the view; none before the first.
+  std::optional<bool> store_reachable_;  ///< Result of the last poll; nullopt before the first.
+  std::optional<shared_store::StoreEra> era_;  ///< Era of the view; nullopt before the first view.
   RefreshWaiters refresh_waiters_;
   std::function<void()> current_callback_;
   std::function<void()> new_era_callback_;
--- a/src/discovery/known_history.h
+++ b/src/discovery/known_history.h
@@ -1,4 +1,4 @@
-// What is known of the store's recent history, to recognize a store that has lost some of it.
+// Records the recent history of the store to detect that it has lost some of it.
 #pragma once
 
 #include <cstddef>
@@ -11,25 +11,27 @@
 
 namespace ochrespring::discovery {
 
-/// Spans of this node's own looks and of those that other nodes tell of. Spans may overlap or leave
-/// gaps: each is compared by itself. Pure; one loop.
+/// Holds spans from this node's own polls and from those of other nodes. Spans may overlap or leave
+/// gaps, as each is compared by itself. Performs no I/O; used on one event loop.
 class KnownHistory {
  public:
   void note(const shared_store::HistorySpan& span, MonotonicTime now);
-  /// Drops what the store is not asked for any more; `seen`: where the view stands.
+  /// Drops the spans that are no longer requested from the store. `seen` is the revision of the
+  /// view.
   void trim(MonotonicTime now, shared_store::StoreRevision seen);
-  /// A look that begins here is told all that can be compared; none if nothing is known.
+  /// Returns the revision to poll from so that the answer covers all recorded spans; nullopt if
+  /// there are none.
   std::optional<shared_store::StoreRevision> begin() const;
-  /// Whether the store that tells `changes`, all there are after `after`, holds others than were
-  /// known: it has come back from an older copy.
+  /// Returns whether `changes`, which must be all changes after `after`, contradict a recorded
+  /// span, which means that the store was restored from an older copy.
   bool contradicts(shared_store::StoreRevision after,
                    const std::vector<shared_store::Change>& changes) const;
 
  private:
-  /// A store keeps some 20 s of history; a look that asks for more has to list.
+  /// The store keeps about 20 s of history; a poll that asks for more needs a full listing.
   static constexpr Duration kRetention{std::chrono::seconds(15)};
-  /// Bounds the answer to a look after an outage, some 1 MB: 10,000 servers write some 8,000
-  /// changes a second.
+  /// Limits the answer to a poll after an outage to about 1 MB: 10,000 servers write about 8,000
+  /// changes per second.
   static constexpr std::uint64_t kMaxChanges = 4'096;
   static constexpr std::size_t kMaxSpans = 64;
 
@@ -38,7 +40,7 @@
     MonotonicTime noted{};
   };
 
-  std::deque<Entry> entries_;  ///< In the order in which they were noted.
+  std::deque<Entry> entries_;  ///< In order of recording.
 };
 
 }  // namespace ochrespring::discovery
--- a/src/discovery/poll_schedule.cc
+++ b/src/discovery/poll_schedule.cc
@@ -7,28 +7,32 @@
 
 namespace {
 
-/// Doublings of the pause after failed looks; `max_retry_delay` bounds it besides.
+/// Doublings of the delay after failed polls, which is also limited by `max_retry_delay`.
 constexpr std::uint32_t kMaxRetryDoublings = 4;
-/// Of the max_delay pause after failed looks, for each node of the fleet: together they try some 50
-/// times a second, whatever their number.
+/// Maximum delay after failed polls, per node of the fleet: all nodes together retry about 50 times
+/// a second, regardless of their number.
 constexpr Duration kRetryDelayPerNode = std::chrono::milliseconds(40);
-/// Parts of the bound: when an equal looks at the earliest, and how much later at the latest.
+/// Fractions of the staleness bound: the earliest poll of a kSymmetric node, and the range of its
+/// random extra delay.
 constexpr double kPeriodFraction = 0.5;
 constexpr double kSpreadFraction = 0.22;
-/// A reader looks often enough that a listing of the whole store, which takes up to a second where
-/// history is gone, and the turns of a few dead readers before it fit into the rest of the bound. A
-/// fleet of any size makes 8 looks in a bound so.
+/// Leaves room in the bound for a full listing, which takes up to a second if the history is
+/// unavailable, and for the turns of a few terminated readers before it. A fleet of any size polls
+/// 8 times per bound.
 constexpr double kReaderPeriodFraction = 0.125;
 constexpr double kReaderStaggerFraction = 0.05;
-/// A follower that has lost two updates in a row still asks before half of the bound is over.
+/// A follower that has missed two updates in a row still asks a reader before half of the bound has
+/// passed.
 constexpr double kFollowerPeriodFraction = 0.35;
-/// A view this old still tells what a configuration lacks: a newer one need not be in force yet.
+/// A view of this age still shows which routes a configuration lacks: a newer configuration need
+/// not be in force yet.
 constexpr double kMaxRefreshAgeFraction = 0.75;
-/// For each node known, before a node lists the whole store itself at its start: however many start
-/// at once, some 50 a second do. A fleet whose nodes and servers fit into one page never waits.
+/// Per known node, before a starting node lists the whole store itself: regardless of how many
+/// nodes start at once, about 50 per second do so. A fleet whose nodes and servers fit into one
+/// page never waits.
 constexpr Duration kListingDelayPerNode = std::chrono::milliseconds(20);
-/// And at most this long, as much again by chance: a third of the time in which a fleet that was
-/// killed as a whole has to serve again (18 s where the largest fleets are).
+/// Upper limit of the delay, to which up to the same time is added at random: a third of the time
+/// within which a completely restarted fleet must serve again (18 s for the largest fleets).
 constexpr Duration kMaxListingDelay = std::chrono::seconds(3);
 
 }  // namespace
--- a/src/discovery/poll_schedule.h
+++ b/src/discovery/poll_schedule.h
@@ -1,4 +1,4 @@
-// When a node looks at the store, by its part in reading it for the fleet.
+// Schedules a node's polls of the store according to its part in reading it for the fleet.
 #pragma once
 
 #include <cstdint>
@@ -11,66 +11,75 @@
 
 /// A node's part in reading the store.
 enum class ReadingRole : std::uint8_t {
-  kSymmetric,  ///< Small fleet: every node looks for all, whoever comes first.
-  kReader,     ///< Large fleet: one of the few that look and list, in the order of their ranks.
-  kFollower,  ///< Large fleet: lives on what readers tell, asks them when it has heard nothing, and
-              ///< the store itself only when they cannot help.
+  kSymmetric,  ///< Small fleet: any node polls for all.
+  kReader,  ///< Large fleet: one of the few nodes that poll and list, in the order of their ranks.
+  /// Large fleet: relies on the readers' broadcasts, asks a reader if it receives none, and polls
+  /// the store only if no reader can help.
+  kFollower,
 };
 
 struct ReadingAssignment {
   ReadingRole role = ReadingRole::kSymmetric;
   std::uint32_t rank = 0;         ///< Of a reader; the first one is 0.
-  std::vector<Endpoint> readers;  ///< Of a follower: where to ask; empty: nowhere.
+  std::vector<Endpoint> readers;  ///< For a follower: the readers to ask; may be empty.
 };
 
 struct FleetWatcherSettings {
-  Duration period{std::chrono::milliseconds(1000)};  ///< Between two looks of an equal, at least.
-  Duration spread{std::chrono::milliseconds(450)};   ///< A node waits up to this much longer.
-  /// Between two looks of the first reader: what it finds is everywhere some 10 ms later.
+  /// Minimum time between two polls of a kSymmetric node.
+  Duration period{std::chrono::milliseconds(1000)};
+  Duration spread{std::chrono::milliseconds(450)};  ///< Range of the random delay added to it.
+  /// Between two polls of the first reader; its findings reach all nodes about 10 ms later.
   Duration reader_period{std::chrono::milliseconds(250)};
-  /// Each further reader waits so much longer: long enough to hear of the look before, so that it
-  /// looks only if the others before it have failed.
+  /// Additional delay of each further reader: long enough to receive the result of the preceding
+  /// reader, so that it polls only if the readers before it have failed.
   Duration reader_stagger{std::chrono::milliseconds(100)};
-  Duration follower_period{std::chrono::milliseconds(700)};  ///< Silence before it asks a reader.
-  Duration retry_delay{std::chrono::milliseconds(300)};      ///< After a look that failed.
-  /// The pause after failed looks in a row grows up to this, in a large fleet further up to
-  /// `max_refresh_age`: of many nodes one will soon succeed, and tell the others.
+  /// Time without updates before a follower asks a reader.
+  Duration follower_period{std::chrono::milliseconds(700)};
+  Duration retry_delay{std::chrono::milliseconds(300)};  ///< Initial delay after a failed poll.
+  /// The delay after consecutive failed polls grows up to this; in a large fleet up to
+  /// `max_refresh_age`, because one of the many nodes will soon succeed and broadcast its result.
   Duration max_retry_delay{std::chrono::milliseconds(1200)};
-  /// A node waits up to this long before it fetches what it lacks from another: many may at once.
+  /// Range of the random delay before a node fetches missing changes, as many nodes may do so at
+  /// once.
   Duration fetch_spread{std::chrono::milliseconds(100)};
-  /// Between two fetches of what changed; of whole views, which are large, half a period at least.
+  /// Minimum time between two fetches of changes. Complete views are large: at least half of
+  /// `period` passes between them.
   Duration fetch_interval{std::chrono::milliseconds(500)};
   Duration peer_request_delay{
-      std::chrono::milliseconds(250)};                       ///< Before a peer is asked for a view.
-  Duration relist_spread{std::chrono::milliseconds(200)};    ///< Before a listing out of turn.
-  Duration max_refresh_age{std::chrono::milliseconds(150)};  ///< Age at which refresh() asks again.
-  /// For this long a request waits for a look: callers count in hundreds of milliseconds, and a
-  /// look takes some ten while the store is well.
+      std::chrono::milliseconds(250)};  ///< Before a peer is asked for its view.
+  /// Range of the delay before an unscheduled listing.
+  Duration relist_spread{std::chrono::milliseconds(200)};
+  /// Age of the configuration from which refresh() polls again.
+  Duration max_refresh_age{std::chrono::milliseconds(150)};
+  /// Time for which a request waits for a poll: callers expect answers within hundreds of
+  /// milliseconds, and a poll takes about ten while the store is healthy.
   Duration refresh_timeout{std::chrono::milliseconds(400)};
-  /// Whether a node that starts lists the whole store at once, however large: the others ask the
-  /// nodes that do.
+  /// Whether a starting node lists the whole store immediately, regardless of its size, so that
+  /// other nodes can fetch the view from it.
   bool lists_immediately = false;
 };
 
-/// Settings by which each node's view is never older than `bound`, with time to spare for a slow
-/// answer and a second try.
+/// Returns settings with which the view of each node is never older than `bound`, including time
+/// for a slow answer and a retry.
 FleetWatcherSettings settings_for_staleness_bound(Duration bound);
 
-/// How much longer than the period a node waits, from a draw in [0, 1). Late draws are likelier the
-/// more nodes there are, so that seldom two look before the first one's update has reached the
-/// second: about the logarithm of `nodes` do, where even draws would let a share of all.
+/// Returns the random addition to the poll period for `uniform`, a random number in [0, 1). The
+/// more nodes there are, the more likely are long delays, so that two nodes rarely poll before the
+/// first one's update has reached the second: about log(`nodes`) nodes do so, whereas with uniform
+/// delays it would be a fraction of all.
 Duration poll_spread_delay(Duration spread, std::uint32_t nodes, double uniform);
 
-/// From the time as of which the view is current to the next look.
+/// Returns the delay of the next poll, counted from the time as of which the view is current.
 Duration poll_delay(const FleetWatcherSettings& settings, const ReadingAssignment& assignment,
                     std::uint32_t nodes, double uniform);
 
-/// After `failed` looks in a row; nodes that failed together try again apart.
+/// Returns the delay after `failed` consecutive failed polls, randomized so that nodes that failed
+/// together retry at different times.
 Duration failed_poll_delay(const FleetWatcherSettings& settings, std::uint32_t failed,
                            std::uint32_t nodes, double uniform);
 
-/// How long a node that starts in a fleet of at least `nodes` asks others for their view before it
-/// lists the whole store itself.
+/// Returns how long a starting node in a fleet of at least `nodes` asks others for their view
+/// before it lists the whole store itself.
 Duration listing_delay(const FleetWatcherSettings& settings, std::uint32_t nodes, double uniform);
 
 }  // namespace ochrespring::discovery
