--- a/src/discovery/change_log.cc
+++ b/src/discovery/change_log.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Back ends and nodes have names of their own; which of them a change is of is told apart.
+/// Back ends and nodes may have the same name, so the kind of the change is part of the key.
 std::pair<std::size_t, std::string_view> subject_of(const ViewChange& change) {
   const std::string_view id = std::visit(
       [](const auto& alternative) { return std::string_view(alternative.id.value()); }, change);
@@ -50,7 +50,8 @@
   }
 }
 
-/// One look whose news was lost is made up for by the next: hence from the last but one.
+/// Starts at the last but one poll, so that each poll makes up for the loss of the previous one's
+/// updates.
 std::vector<ViewUpdate> ChangeLog::make_updates(MonotonicTime now, Duration age) {
   trim(now);
   const shared_store::StoreRevision begin =
@@ -62,7 +63,7 @@
       continue;
     }
     ViewUpdate& last = updates.back();
-    // What changed in one transaction stands at one revision and stays together.
+    // All changes of a transaction have the same revision and stay together.
     if (last.changes.size() >= kMaxChangesPerUpdate &&
         revision_of(last.changes.back()) != revision) {
       if (updates.size() == kMaxUpdates) {
@@ -99,7 +100,7 @@
   }
 }
 
-/// A transaction changes several keys at one revision: they go together.
+/// All changes of a transaction have the same revision and are dropped together.
 void ChangeLog::drop_oldest() {
   after_ = revision_of(entries_.front().change);
   while (!entries_.empty() && revision_of(entries_.front().change) == after_) {
--- a/src/discovery/entry_reader.h
+++ b/src/discovery/entry_reader.h
@@ -1,4 +1,4 @@
-// Reads the entries of the store that make up a view.
+// Parses the store entries that make up a view.
 #pragma once
 
 #include <cstdint>
@@ -13,18 +13,18 @@
 
 namespace ochrespring::discovery {
 
-/// Anybody may have written an entry. One that cannot be understood is logged by its key, never by
-/// its content, which may hold callers' keys, and counted; the others are read all the same. One
-/// loop.
+/// Entries may be written by anybody. An entry that cannot be parsed is counted and logged by its
+/// key, never by its content, which may include callers' API keys; all other entries are still
+/// read. Used on one event loop.
 class EntryReader {
  public:
   EntryReader(const FleetCodec& codec, logging::Logger& logger) : codec_(codec), logger_(logger) {}
 
-  /// Of entries with a value; none: not understood.
+  /// The entry must have a value. Returns nullopt if it cannot be parsed.
   std::optional<gateway::Backend> read_backend(const shared_store::Change& entry);
   std::optional<NodeRecord> read_node(const shared_store::Change& entry);
   std::optional<gateway::Configuration> read_configuration(const std::string& value);
-  /// Entries that were not understood, each time they were read.
+  /// Returns the number of entries that could not be parsed, counted on each read.
   std::uint64_t rejected() const { return rejected_; }
 
  private:
--- a/src/discovery/fleet_lister.cc
+++ b/src/discovery/fleet_lister.cc
@@ -53,7 +53,8 @@
   Range& range = run->ranges[index];
   range.failed_attempts = 0;
   if (run->revision && run->revision->era() != page.revision.era()) {
-    fail_run(run, {shared_store::StoreErrc::kNotDone, "the store was set back between two pages"});
+    fail_run(run, {shared_store::StoreErrc::kNotDone,
+                   "the store was restored from an older copy between two pages"});
     return;
   }
   run->revision = std::min(run->revision.value_or(page.revision), page.revision);
@@ -79,7 +80,7 @@
     return;
   }
   range.retry = std::make_unique<Timer>(timers_);
-  // The run owns the timer.
+  // The run owns the timer; a strong reference would form a cycle.
   range.retry->arm(kRetryDelay, [this, weak_run = std::weak_ptr<Run>(run), index] {
     const std::shared_ptr<Run> waiting = weak_run.lock();
     if (waiting != nullptr && waiting == run_) {
--- a/src/discovery/fleet_lister.h
+++ b/src/discovery/fleet_lister.h
@@ -1,4 +1,4 @@
-// Lists the whole store, page by page, several ranges of keys at a time.
+// Lists the whole store page by page, reading several key ranges concurrently.
 #pragma once
 
 #include <cstddef>
@@ -14,9 +14,9 @@
 
 namespace ochrespring::discovery {
 
-/// One after the other, the pages of a large fleet handle_page longer than a view may be old while
-/// the store answers slowly: 55 pages of 200 keys at 200 ms are 11 s, in eight ranges 1.4 s. A page
-/// that fails is asked for again; the pages before it are kept. One listing at a time; one loop.
+/// Read sequentially, the pages of a large fleet take longer than a view may be old while the store
+/// answers slowly: 55 pages of 200 keys at 200 ms take 11 s, in eight ranges 1.4 s. A failed page
+/// is retried; the pages before it are kept. Runs one listing at a time on one event loop.
 class FleetLister {
  public:
   using Done = std::function<void(Result<shared_store::Listing, shared_store::StoreError>)>;
@@ -24,24 +24,24 @@
   FleetLister(shared_store::SharedStore& store, TimerService& timers)
       : store_(store), timers_(timers) {}
 
-  /// Lists everything. `boundaries` are keys, in their order, at which one range boundaries and the
-  /// next one begins; empty: one range. A listing that runs is dropped.
+  /// Starts listing all keys. `boundaries` are sorted keys at which one range ends and the next one
+  /// begins; empty means a single range. Cancels a listing that is running.
   void start(const std::vector<std::string>& boundaries, Done done);
-  /// Goes on behind a first page that has been read.
+  /// Continues a listing after a first page that has already been read.
   void resume(shared_store::ListPage first, Done done);
-  /// Drops the listing that runs, if there is one; nothing is called back any more.
+  /// Cancels the running listing, if any; its callback is not called.
   void stop() { run_.reset(); }
   bool running() const { return run_ != nullptr; }
 
  private:
-  /// Tries of one page; the store forgets single calls more often than it is out.
+  /// Per page; the store more often drops single calls than it is unreachable.
   static constexpr std::uint32_t kMaxPageAttempts = 3;
   static constexpr Duration kRetryDelay{std::chrono::milliseconds(100)};
 
-  /// The keys behind `after` up to and including `last`.
+  /// The keys after `after` up to and including `last`.
   struct Range {
     std::string after;
-    std::string last;  ///< Empty: no end.
+    std::string last;  ///< Empty: no upper limit.
     std::uint32_t failed_attempts = 0;
     std::vector<shared_store::Change> items;
     std::unique_ptr<Timer> retry;
@@ -62,7 +62,7 @@
 
   shared_store::SharedStore& store_;
   TimerService& timers_;
-  std::shared_ptr<Run> run_;  ///< Answers to a run that is no longer this one are passed over.
+  std::shared_ptr<Run> run_;  ///< Answers to a run other than this one are ignored.
 };
 
 }  // namespace ochrespring::discovery
--- a/src/discovery/listing_comparison.h
+++ b/src/discovery/listing_comparison.h
@@ -1,4 +1,4 @@
-// How a listing of the store differs from the view that a node already has.
+// Computes the difference between a listing of the store and a node's current view.
 #pragma once
 
 #include <optional>
@@ -13,34 +13,34 @@
 
 namespace ochrespring::discovery {
 
-/// A store that has forgotten its history tells no changes any more. The difference of a listing to
-/// the view stands in for them: told to the others as any look's news, it spares each of them a
-/// listing of its own. What the view learnt while the store was being listed is newer than the
-/// listing and stays. One use; pure.
+/// If the store no longer keeps its history, the difference between a listing and the view replaces
+/// the missing changes: broadcast like the result of any poll, it saves the other nodes a listing
+/// of their own. Changes that the view received while the store was being listed are newer than the
+/// listing and are kept. For a single use; performs no I/O.
 class ListingComparison {
  public:
-  /// The listing began at `listed`; the view is complete up to `known`, and `log` has what it was
-  /// told since the listing began.
+  /// The listing began at `listed`; the view is complete up to `known`, and `log` contains the
+  /// changes received since the listing began.
   ListingComparison(shared_store::StoreRevision listed, shared_store::StoreRevision known,
                     const ChangeLog& log);
 
-  /// A back end that is listed, last changed at `revision`. Returns whether it differs from the
-  /// view.
+  /// Adds a listed back end last changed at `revision`. Returns whether it differs from the view.
   bool add_backend(const gateway::Backend& backend, shared_store::StoreRevision revision,
                    const gateway::FleetState& fleet);
   void add_node(const NodeId& id, shared_store::StoreRevision revision,
                 std::optional<NodeRecord> record, const NodeDirectory& nodes);
-  /// All that differs, in the order of revisions: what is in the view and was not listed has gone.
+  /// Returns all differences in order of revision; entries of the view that were not listed count
+  /// as removed.
   std::vector<ViewChange> finish(const gateway::FleetState& fleet, const NodeDirectory& nodes);
 
  private:
-  /// The revision as of which a difference is told. It lies in what the listing adds to the view:
-  /// whoever has seen as much as this node takes it.
+  /// Returns the revision under which a difference is reported. It lies within the range that the
+  /// listing adds to the view, so nodes that have seen as much as this one apply it.
   shared_store::StoreRevision reported_revision(shared_store::StoreRevision revision) const;
 
   shared_store::StoreRevision listed_;
   shared_store::StoreRevision known_;
-  std::set<gateway::BackendId> newer_backends_;  ///< Told since the listing began.
+  std::set<gateway::BackendId> newer_backends_;  ///< Received since the listing began.
   std::set<NodeId> newer_nodes_;
   std::set<gateway::BackendId> listed_backends_;
   std::set<NodeId> listed_nodes_;
--- a/src/discovery/poll_schedule.h
+++ b/src/discovery/poll_schedule.h
@@ -45,8 +45,8 @@
   /// Minimum time between two fetches of changes. Complete views are large: at least half of
   /// `period` passes between them.
   Duration fetch_interval{std::chrono::milliseconds(500)};
-  Duration peer_request_delay{
-      std::chrono::milliseconds(250)};  ///< Before a peer is asked for its view.
+  /// Before a peer is asked for its view.
+  Duration peer_request_delay{std::chrono::milliseconds(250)};
   /// Range of the delay before an unscheduled listing.
   Duration relist_spread{std::chrono::milliseconds(200)};
   /// Age of the configuration from which refresh() polls again.
--- a/src/discovery/view_fetcher.cc
+++ b/src/discovery/view_fetcher.cc
@@ -29,7 +29,8 @@
   request(holder);
 }
 
-/// While more changes than can be told, one fetch in a part of the period has to do.
+/// While there are more changes than updates can carry, one fetch per `fetch_interval` must
+/// suffice.
 void ViewFetcher::schedule_fetch(Duration min_delay) {
   Duration wait = min_delay + random_.part_of(settings_.fetch_spread);
   if (last_fetch_started_at_) {
--- a/src/discovery/view_fetcher.h
+++ b/src/discovery/view_fetcher.h
@@ -1,4 +1,4 @@
-// Fetches from other nodes what their updates told of and could not carry.
+// Fetches from other nodes the changes that their updates announce but cannot carry.
 #pragma once
 
 #include <cstdint>
@@ -14,41 +14,42 @@
 
 namespace ochrespring::discovery {
 
-/// What is requested_at of another node.
+/// A request for another node's view.
 struct ViewRequest {
   Endpoint holder;
-  /// What has changed behind it is enough; none: the whole view.
+  /// Changes after this revision suffice; nullopt: the complete view is needed.
   std::optional<shared_store::StoreRevision> after;
 };
 
-/// None: the node did not answer, or has nothing to give.
+/// Receives nullopt if the node did not answer or has nothing to provide.
 using TransferCallback = std::function<void(std::optional<ViewTransfer> transfer)>;
 
-/// Many updates that cannot be joined bring one fetch, from the holder of the newest; another
-/// follows only after a interval. A holder that cannot serve is requested_at again a few times: it
-/// serves others first. Whoever gets nothing looks itself in time. One loop.
+/// Many updates that do not connect to the view cause a single fetch, from the sender of the
+/// newest; the next one follows only after an interval. A holder that cannot serve is retried a few
+/// times, because it serves other nodes first. A node whose fetches fail polls the store itself in
+/// time. Used on one event loop.
 class ViewFetcher {
  public:
   struct Callbacks {
     std::function<void(const ViewRequest&, TransferCallback)> fetch;
-    /// Up to where this node's view is complete.
+    /// Returns the revision up to which this node's view is complete.
     std::function<std::optional<shared_store::StoreRevision>()> seen_revision;
-    /// Takes what was requested_at for at a time; returns whether it was of use.
+    /// Applies a transfer requested at the given time; returns whether it was useful.
     std::function<bool(const ViewTransfer&, MonotonicTime requested_at)> apply;
   };
 
   ViewFetcher(const Clock& clock, TimerService& timers, RandomSource& random,
               const FleetWatcherSettings& settings, Callbacks callbacks);
 
-  /// Another node holds what this one lacks.
+  /// Schedules a fetch of missing changes from `holder`.
   void request(const Endpoint& holder);
-  /// The view has turned out to be wrong: the whole of the holder's is to take its place.
+  /// Schedules a fetch of the complete view from `holder` because this node's view is wrong.
   void request_snapshot(const Endpoint& holder);
-  /// Asks at once, out of turn, and calls back as well.
+  /// Fetches immediately, independent of scheduled fetches, and passes the result to `done`.
   void fetch_now(const Endpoint& holder, TransferCallback done);
 
  private:
-  /// Of one update: by then this node's own look is due.
+  /// Attempts per update; after these, this node's own poll is due.
   static constexpr std::uint32_t kMaxAttempts = 4;
 
   void schedule_fetch(Duration min_delay);
@@ -59,11 +60,11 @@
   FleetWatcherSettings settings_;
   Callbacks callbacks_;
   Timer timer_;
-  Endpoint holder_;  ///< Of the newest update that could not be joined.
+  Endpoint holder_;  ///< Sender of the newest update that does not connect to the view.
   bool needs_snapshot_ = false;
   bool fetching_ = false;
   std::uint32_t attempts_ = 0;
-  std::optional<MonotonicTime> last_fetch_started_at_;  ///< When the last fetch began.
+  std::optional<MonotonicTime> last_fetch_started_at_;  ///< When the last fetch started.
 };
 
 }  // namespace ochrespring::discovery
--- a/src/discovery/view_transfer.h
+++ b/src/discovery/view_transfer.h
@@ -1,4 +1,4 @@
-// What one node hands another over a stream: its whole view, or what has changed in it.
+// Data sent from one node to another over a stream: a complete view or the changes to it.
 #pragma once
 
 #include <cstdint>
@@ -15,11 +15,11 @@
 
 namespace ochrespring::discovery {
 
-/// The store as it was at `through`.
+/// The state of the store at `through`.
 struct ViewSnapshot {
   shared_store::StoreRevision through;
-  Duration age{};             ///< Since the view was last known to be the store's.
-  std::string configuration;  ///< The document as the store holds it.
+  Duration age{};             ///< Time since the view was last known to match the store.
+  std::string configuration;  ///< The document as stored.
   std::vector<gateway::Backend> backends;
   std::vector<NodeRecord> nodes;
 
@@ -33,14 +33,14 @@
   }
 };
 
-/// All that changed in the store in (`after`, `through`]. Some KB, where a snapshot of a large
-/// fleet has some 100 KB even when it is compressed.
+/// All changes in (`after`, `through`]. Some KB, whereas a compressed snapshot of a large fleet has
+/// some 100 KB.
 struct ViewDelta {
   shared_store::StoreRevision after;
   shared_store::StoreRevision through;
-  Duration age{};                            ///< As of a snapshot.
+  Duration age{};                            ///< Same meaning as in ViewSnapshot.
   std::optional<std::string> configuration;  ///< The document, if it has changed.
-  std::vector<ViewChange> changes;           ///< In the order of their revisions.
+  std::vector<ViewChange> changes;           ///< In order of revision.
   std::uint64_t fingerprint = 0;             ///< Of all back ends at `through`.
 
   template <class Archive>
@@ -56,7 +56,7 @@
 
 using ViewTransfer = std::variant<ViewSnapshot, ViewDelta>;
 
-/// Since its holder last knew it to be the store's.
+/// Returns the time since the sender last knew its view to match the store.
 inline Duration age_of(const ViewTransfer& transfer) {
   return std::visit([](const auto& told) { return told.age; }, transfer);
 }
--- a/src/discovery/view_update.h
+++ b/src/discovery/view_update.h
@@ -1,4 +1,4 @@
-// What nodes tell each other of the fleet after a look at the store.
+// Messages that nodes broadcast about the fleet after a poll of the store.
 #pragma once
 
 #include <cstdint>
@@ -15,7 +15,7 @@
 
 namespace ochrespring::discovery {
 
-/// A back end as the store has it since `revision`; none: it has gone.
+/// The state of a back end in the store since `revision`; nullopt if it was removed.
 struct BackendChange {
   shared_store::StoreRevision revision;
   gateway::BackendId id;
@@ -29,7 +29,7 @@
   }
 };
 
-/// A node's registration as the store has it since `revision`; none: it has gone.
+/// The registration of a node in the store since `revision`; nullopt if it was removed.
 struct NodeChange {
   shared_store::StoreRevision revision;
   NodeId id;
@@ -49,21 +49,21 @@
   return std::visit([](const auto& alternative) { return alternative.revision; }, change);
 }
 
-/// All that changed in the store in (`after`, `through`], heartbeats left out. Whoever has seen the
-/// store up to `after` or beyond has seen it up to `through` with it. What is too much for one
-/// datagram goes out in several updates, each of which goes on where the one before ends.
+/// All changes in (`after`, `through`] except heartbeats. A node that has seen the store up to
+/// `after` or later has seen it up to `through` once it has applied the update. Changes that exceed
+/// one datagram are split into several updates, each of which starts where the previous one ends.
 struct ViewUpdate {
   shared_store::StoreRevision after;
   shared_store::StoreRevision through;
-  Duration age{};  ///< Since the look began, when the update was sent.
-  /// Of all back ends at `through`; none where more updates follow.
+  Duration age{};  ///< Time from the start of the poll until the update was sent.
+  /// Of all back ends at `through`; nullopt if more updates follow.
   std::optional<std::uint64_t> fingerprint;
-  /// Where a node that cannot join the update gets the whole view up to `through`; empty: nowhere.
-  /// Filled in by whoever sends it.
+  /// Where a node that has not seen `after` can fetch the complete view up to `through`; empty if
+  /// nowhere. Filled in by the sender.
   Endpoint view_address;
   std::vector<ViewChange> changes;
 
-  /// Whether no further update of the same look follows.
+  /// Returns whether this is the last update of its poll.
   bool is_last() const { return fingerprint.has_value(); }
 
   template <class Archive>
@@ -77,8 +77,8 @@
   }
 };
 
-/// What stands where a look's updates end: whoever has seen the store up to there can find out with
-/// its own next look whether the store has begun another life since.
+/// The change at which a poll's updates end. With it, the next poll of a node that has seen the
+/// store up to there detects whether the store has begun a new era since.
 struct PositionReport {
   shared_store::StorePosition position;
 
@@ -88,8 +88,8 @@
   }
 };
 
-/// All that changed in the store between two looks of a node, by its digest: whoever has seen it
-/// can find out after an outage whether the store has lost any of it.
+/// Digest of all changes between two polls of a node. With it, a node that has seen these changes
+/// detects after an outage whether the store has lost any of them.
 struct HistoryReport {
   shared_store::HistorySpan span;
 
--- a/src/discovery/view_writer.cc
+++ b/src/discovery/view_writer.cc
@@ -14,9 +14,9 @@
 namespace {
 
 constexpr std::string_view kComponent = "discovery";
-/// How long a back end that had gone is doubted where an older copy of the store shows it: longer
-/// than three heartbeats (1.2 s each as deployed), after which the platform takes the silent ones
-/// away.
+/// How long a removed back end is doubtful if an older copy of the store lists it again: longer
+/// than three heartbeats (1.2 s each as deployed), after which the platform removes silent back
+/// ends.
 constexpr Duration kDoubtPeriod = std::chrono::seconds(6);
 
 std::uint64_t hash_backend(const gateway::Backend& backend) {
@@ -33,7 +33,8 @@
   const bool behind = listing.revision < *seen_revision_;
   const bool older_era = listing.revision.era() < seen_revision_->era();
   if (older_era || (behind && !log_.covers(listing.revision))) {
-    // What other nodes told since the listing began is no longer known: it could undo that.
+    // The changes reported by other nodes since the listing began are no longer in the log, so the
+    // listing could undo them.
     return false;
   }
   const bool newer_era = enter_era(listing.revision);
@@ -47,15 +48,15 @@
   }
   log_added_backends();
   if (behind) {
-    // The log is in the order of revisions, and these are older ones.
+    // The log is in order of revision, and these changes are older.
     log_.reset(*seen_revision_);
   } else {
     seen_revision_ = listing.revision;
     log_.advance(*seen_revision_);
   }
   if (newer_era) {
-    // Others may have seen more of the life before than this node: what differs from its view does
-    // not make theirs right, and they take the whole.
+    // Other nodes may have seen more of the previous era than this one. The differences from this
+    // node's view would not correct theirs, so they must fetch the complete view.
     log_.reset(max_listed_revision_);
     newer_than_listing_.clear();
   }
@@ -63,9 +64,9 @@
   return true;
 }
 
-/// Returns whether `told` is of a later life of the store than the view.
-bool ViewWriter::enter_era(shared_store::StoreRevision told) {
-  const bool later = seen_revision_ && told.era() > seen_revision_->era();
+/// Returns whether `revision` belongs to a later store era than the view.
+bool ViewWriter::enter_era(shared_store::StoreRevision revision) {
+  const bool later = seen_revision_ && revision.era() > seen_revision_->era();
   if (later) {
     fleet_.doubt_gone(clock_.now() + kDoubtPeriod);
   }
@@ -94,7 +95,7 @@
   fingerprint_.reset();
   seen_revision_ = listing.revision;
   position_ = shared_store::newest_position(listing.items);
-  // Of the keys of later pages only the newest state is known.
+  // Only the newest state of the keys on later pages is known.
   log_.reset(max_listed_revision_);
 }
 
@@ -121,8 +122,8 @@
     max_listed_revision_ = std::max(max_listed_revision_, item.revision);
     if (item.key.starts_with(layout.backend_prefix)) {
       const auto backend = entries_.read_backend(item);
-      const bool told = backend && comparison.add_backend(*backend, item.revision, fleet_);
-      if (told && item.revision > listing.revision) {
+      const bool differs = backend && comparison.add_backend(*backend, item.revision, fleet_);
+      if (differs && item.revision > listing.revision) {
         newer_than_listing_.insert(backend->id);
       }
     } else if (item.key.starts_with(layout.node_prefix)) {
@@ -192,14 +193,14 @@
   reported_position_.reset();
 }
 
-bool ViewWriter::record_position(const shared_store::StorePosition& told) {
+bool ViewWriter::record_position(const shared_store::StorePosition& reported) {
   const auto known = position();
-  if (known && known->revision == told.revision) {
-    return *known == told;
+  if (known && known->revision == reported.revision) {
+    return *known == reported;
   }
-  const bool is_place = told.revision.value() != 0;
-  if (is_place && (!seen_revision_ || told.revision >= *seen_revision_)) {
-    reported_position_ = told;
+  const bool is_valid = reported.revision.value() != 0;
+  if (is_valid && (!seen_revision_ || reported.revision >= *seen_revision_)) {
+    reported_position_ = reported;
   }
   return true;
 }
@@ -211,7 +212,8 @@
   return updates;
 }
 
-/// The same on all nodes that see the same back ends, in whatever order they learnt of them.
+/// Independent of the order in which back ends became known, so that it is equal on all nodes with
+/// the same back ends.
 std::uint64_t ViewWriter::fingerprint() {
   if (!fingerprint_) {
     fingerprint_ = 0;
@@ -278,8 +280,8 @@
   }
 }
 
-/// An entry is of one life of a back end. It takes the place of any other life under its name, and
-/// one that cannot be understood names no back end to use.
+/// An entry describes one incarnation of a back end and replaces any other incarnation with the
+/// same name. An entry that cannot be parsed removes the back end.
 void ViewWriter::apply_backend_entry(const shared_store::Change& change) {
   const std::string name = change.key.substr(codec_.layout().backend_prefix.size());
   auto backend = change.value ? entries_.read_backend(change) : std::nullopt;
@@ -294,7 +296,7 @@
   }
 }
 
-/// A listing's state of it may have been newer than the listing: see `newer_than_listing_`.
+/// A listing may already have contained this state: see `newer_than_listing_`.
 void ViewWriter::apply(BackendChange change) {
   const gateway::Backend* const found = fleet_.find(change.id);
   const bool known = found != nullptr;
@@ -307,7 +309,7 @@
   if (known || change.backend->draining) {
     logger_.write({logging::Level::kInfo,
                    kComponent,
-                   change.backend ? "back end changed" : "back end gone",
+                   change.backend ? "back end changed" : "back end removed",
                    {{"backend", change.id.value()},
                     {"draining", change.backend && change.backend->draining},
                     {"revision", change.revision.value()}}});
@@ -420,31 +422,31 @@
   if (!item.value || !apply_configuration(*item.value, item.revision)) {
     return;
   }
-  // Who joins an update up to what is seen here is not known to have it.
+  // A node that applies an update up to the seen revision may not have this configuration.
   log_.note_configuration(seen_revision_ ? std::min(item.revision, *seen_revision_)
                                          : item.revision);
 }
 
-/// As it was at `reported_revision`. Returns whether the document was understood. In a later life
-/// the store may hold another document of the version in force: the operator's word after the one
-/// it has lost.
+/// The configuration as of `revision`. Returns whether the document could be parsed. In a later era
+/// the store may hold a different document with the version in force: the operator has replaced the
+/// one that the store lost.
 bool ViewWriter::apply_configuration(const std::string& value,
-                                     shared_store::StoreRevision reported_revision) {
+                                     shared_store::StoreRevision revision) {
   auto configuration = entries_.read_configuration(value);
   if (!configuration) {
     return false;
   }
   const std::uint64_t version = configuration->version.value();
-  const bool reissued = value != configuration_ && reported_revision > configuration_revision_;
+  const bool reissued = value != configuration_ && revision > configuration_revision_;
   if (fleet_.apply(std::move(*configuration), reissued)) {
     configuration_ = value;
-    configuration_revision_ = reported_revision;
+    configuration_revision_ = revision;
     logger_.write({logging::Level::kInfo,
                    kComponent,
                    "configuration in force",
                    {{"configuration", version}}});
   } else if (value == configuration_) {
-    configuration_revision_ = std::max(configuration_revision_, reported_revision);
+    configuration_revision_ = std::max(configuration_revision_, revision);
   }
   return true;
 }
--- a/src/discovery/view_writer.h
+++ b/src/discovery/view_writer.h
@@ -1,4 +1,4 @@
-// Writes what the store and other nodes tell into this node's view of the fleet.
+// Applies changes from the store and from other nodes to this node's view of the fleet.
 #pragma once
 
 #include <cstdint>
@@ -25,16 +25,17 @@
 
 enum class UpdateOutcome : std::uint8_t {
   kApplied,
-  kSkipped,   ///< It begins after what this node has seen: nothing was taken.
-  kMismatch,  ///< Taken, but the views differ: what changed and changed back between two looks of
-              ///< the other node is not in its update. A listing is needed.
-  kOutdated,  ///< Of a life of the store that has ended: it says nothing of now.
+  kSkipped,  ///< The update begins after the revision this node has seen; nothing was applied.
+  /// Applied, but the views differ: a change that was reverted between two polls of the other node
+  /// is not in its update. A listing is needed.
+  kMismatch,
+  kOutdated,  ///< From a store era that has ended; says nothing about the current state.
 };
 
-/// Knows the revision up to which the view is complete. What is not newer than that is passed over:
-/// a look's answer may arrive after another node's update that is newer. Once the store has begun
-/// another life, what was known of the one before is replaced by a whole listing or view, and says
-/// nothing of which numbers are old (StoreRevision). One loop.
+/// Tracks the revision up to which the view is complete and ignores changes that are not newer,
+/// because the answer to a poll may arrive after a newer update of another node. When the store has
+/// begun a new era, a full listing or a complete view replaces the state of the previous one, whose
+/// revisions no longer determine what is old (StoreRevision). Used on one event loop.
 class ViewWriter {
  public:
   ViewWriter(const Clock& clock, const FleetCodec& codec, logging::Logger& logger,
@@ -46,67 +47,71 @@
         nodes_(nodes),
         entries_(codec, logger) {}
 
-  /// Called with keys that are neither the configuration nor of a back end or a node, as they are
-  /// since some change; without a value: removed.
+  /// Called with the changed state of each key that is neither the configuration nor a back end or
+  /// node; without a value, the key was removed.
   using OtherKey = std::function<void(const std::string&, const std::optional<std::string>&)>;
   void on_other_key(OtherKey callback) { other_key_ = std::move(callback); }
 
-  /// Makes the view what the listing says. Other nodes' updates go on to be taken while the store
-  /// is being listed: what they have told since is kept. Returns whether the listing was of use.
+  /// Makes the view match the listing, except for changes that other nodes reported while the store
+  /// was being listed. Returns whether the listing was useful.
   bool apply_listing(const shared_store::Listing& listing);
-  /// Nodes of a part of a listing: somebody to ask for a view.
+  /// Adds the nodes found in a part of a listing, so that they can be asked for a view.
   void add_nodes(const std::vector<shared_store::Change>& items);
   void apply_changes(const shared_store::Changes& changes);
-  /// The configuration as it was read alone, at some time after `seen()`.
+  /// Applies the configuration read by itself at some time after `seen_revision()`.
   void apply_configuration_entry(const shared_store::Change& item);
   UpdateOutcome apply_update(const ViewUpdate& update);
-  /// What has changed since `after`, if this node can tell, or else the whole view; none before
-  /// there is a configuration.
+  /// Returns the changes since `after` if they are known, otherwise the complete view; nullopt
+  /// before there is a configuration.
   std::optional<ViewTransfer> make_transfer(std::optional<shared_store::StoreRevision> after);
   UpdateOutcome apply_transfer(const ViewTransfer& transfer);
-  /// The view has turned out to be wrong: another node's whole view is taken even if it is no
-  /// newer.
+  /// Marks the view as wrong: a complete view of another node is accepted even if it is no newer.
   void invalidate() { valid_ = false; }
-  /// Keys that cut the store into about `count` ranges of the same size, as far as it is known.
+  /// Returns keys that split the store into about `count` ranges of the same size, based on the
+  /// known back ends.
   std::vector<std::string> split_points(std::size_t count) const;
 
-  /// None: a listing is needed.
+  /// Returns the revision up to which the view is complete; nullopt if a listing is needed.
   std::optional<shared_store::StoreRevision> seen_revision() const { return seen_revision_; }
-  /// The change that stands at `seen()`, if it is known.
+  /// Returns the position of the change at `seen_revision()`, if known.
   std::optional<shared_store::StorePosition> position() const;
-  /// The store no longer tells it.
+  /// The store no longer keeps the change at the position.
   void forget_position();
-  /// Another node knows the change at a position. Returns false if it is another one than this node
-  /// knows: one of the two has seen another life of the store.
-  bool record_position(const shared_store::StorePosition& told);
-  /// What the others are told after a look that began `age` ago, in the order to send it.
+  /// Records a position known to another node. Returns false if this node knows a different change
+  /// at that revision, which means that one of the two has seen another store era.
+  bool record_position(const shared_store::StorePosition& reported);
+  /// Returns the updates to broadcast after a poll that started `age` ago, in the order to send
+  /// them.
   std::vector<ViewUpdate> make_updates(Duration age);
-  /// The document in force; empty: none yet.
+  /// Returns the document in force; empty if there is none yet.
   const std::string& configuration() const { return configuration_; }
-  /// Values that could not be understood. Of the configuration the last good one stays.
+  /// Returns the number of values that could not be parsed. The last valid configuration stays in
+  /// force.
   std::uint64_t rejected_values() const { return entries_.rejected(); }
 
  private:
   std::uint64_t fingerprint();
-  /// Writes one back end, or its end, into the view, where it was `known` or null; returns whether
-  /// that changed anything.
+  /// Writes a back end or its removal into the view, which held `known` (null if none). Returns
+  /// whether anything changed.
   bool update_fleet(const BackendChange& change, const gateway::Backend* known);
-  /// Back ends that are new come by thousands while a fleet starts: one line for all of a batch.
+  /// Logs one line for a whole batch, because thousands of back ends are added while a fleet
+  /// starts.
   void log_added_backends();
-  bool enter_era(shared_store::StoreRevision told);
+  bool enter_era(shared_store::StoreRevision revision);
   void apply_first_listing(const shared_store::Listing& listing);
-  /// How a listing that began at `revision` differs from the view, in the order of revisions.
+  /// Returns the differences between a listing and the view, in order of revision.
   std::vector<ViewChange> diff_listing(const shared_store::Listing& listing);
   void apply_other_keys(const shared_store::Listing& listing);
   void apply(const std::vector<ViewChange>& changes, shared_store::StoreRevision after);
   ViewSnapshot make_snapshot() const;
   UpdateOutcome apply(const ViewSnapshot& snapshot);
   UpdateOutcome apply(const ViewDelta& delta);
-  /// Whether the view, now at `through`, is the one that `fingerprint` was taken of.
+  /// Returns kMismatch if the view, now at `through`, is not the one that `fingerprint` was
+  /// computed from.
   UpdateOutcome verify_fingerprint(shared_store::StoreRevision through, std::uint64_t fingerprint);
   void apply_stored_change(const shared_store::Change& change);
   void apply_backend_entry(const shared_store::Change& change);
-  bool apply_configuration(const std::string& value, shared_store::StoreRevision reported_revision);
+  bool apply_configuration(const std::string& value, shared_store::StoreRevision revision);
   void apply(BackendChange change);
   void apply(NodeChange change);
 
@@ -119,20 +124,21 @@
   ChangeLog log_;
   std::optional<shared_store::StoreRevision> seen_revision_;
   std::optional<shared_store::StorePosition> position_;
-  /// The newest that another node has told of; the update up to there may come later.
+  /// The newest position received from another node; the update up to there may arrive later.
   std::optional<shared_store::StorePosition> reported_position_;
-  /// Sum over the back ends, kept up with each change; none: to be made anew.
+  /// Sum over the back ends, updated with each change; nullopt if it has to be recomputed.
   std::optional<std::uint64_t> fingerprint_;
-  std::uint64_t added_backends_ = 0;  ///< Back ends not logged yet.
-  /// A listing in pages tells later pages as they are by then: up to this revision the view may
-  /// hold more than `seen_revision_` says, and is not compared with others'.
+  std::uint64_t added_backends_ = 0;  ///< Added back ends that are not logged yet.
+  /// Later pages of a listing contain newer states than the first. Up to this revision the view may
+  /// contain more than `seen_revision_` states and is not compared with that of other nodes.
   shared_store::StoreRevision max_listed_revision_;
-  /// Back ends whose state in that listing was newer than its beginning. Their change comes again
-  /// and, though nothing changes here any more, has to be told on.
+  /// Back ends whose listed state was newer than the start of the listing. Their change is found
+  /// again by a poll and must still be broadcast, although it changes nothing here.
   std::set<gateway::BackendId> newer_than_listing_;
   bool valid_ = true;
-  std::string configuration_;                           ///< The document in force.
-  shared_store::StoreRevision configuration_revision_;  ///< The newest at which that is known.
+  std::string configuration_;  ///< The document in force.
+  /// The newest revision at which it is known to be stored.
+  shared_store::StoreRevision configuration_revision_;
   OtherKey other_key_;
 };
 
