--- a/src/discovery/fleet_codec.h
+++ b/src/discovery/fleet_codec.h
@@ -1,4 +1,4 @@
-// Where the store keeps what concerns the fleet, and how it is written there.
+// Keys and encoding of the fleet's entries in the store.
 #pragma once
 
 #include <string>
@@ -10,22 +10,22 @@
 namespace ochrespring::discovery {
 
 enum class CodecErrc {
-  kMalformed,  ///< Not in the form expected.
-  kInvalid,    ///< A value that cannot be used.
+  kMalformed,  ///< Not in the expected format.
+  kInvalid,    ///< Contains an unusable value.
 };
 
 using CodecError = LayerError<CodecErrc>;
 
-/// Keys of the store.
+/// Keys and key prefixes in the store.
 struct StoreLayout {
   std::string configuration_key;
   std::string backend_prefix;
   std::string node_prefix;
-  std::string duty_prefix{};        ///< Who holds the duties, and what they have done.
-  std::string quarantine_prefix{};  ///< Requests under which servers have ended.
+  std::string duty_prefix{};        ///< Holders of the duties and the state of their work.
+  std::string quarantine_prefix{};  ///< Requests during which servers have crashed.
 };
 
-/// Pure.
+/// Parses store entries. Stateless.
 class FleetCodec {
  public:
   virtual ~FleetCodec() = default;
--- a/src/discovery/node_directory.cc
+++ b/src/discovery/node_directory.cc
@@ -57,7 +57,7 @@
   }
   std::erase_if(leaving_nodes_,
                 [this](const auto& entry) { return entry.second.until <= clock_.now(); });
-  // Words overtake each other: an older one says less.
+  // Notices may arrive out of order; the one with the newest registration counts.
   LeavingNode& leaving = leaving_nodes_[node];
   leaving.registered = std::max(leaving.registered, registered);
   leaving.until = clock_.now() + kLeavingNodeRetention;
--- a/src/discovery/node_record.h
+++ b/src/discovery/node_record.h
@@ -1,4 +1,4 @@
-// What a node tells the others of itself in the store.
+// A node's registration in the store.
 #pragma once
 
 #include <cstdint>
@@ -12,11 +12,11 @@
 
 struct NodeRecord {
   NodeId node;
-  Endpoint address;  ///< Where callers reach it.
+  Endpoint address;  ///< Where callers reach the node.
   ZoneName zone;
   Endpoint peer_address;        ///< Where other nodes reach it.
-  std::uint32_t link_mbps = 0;  ///< Of its network link; 0: not known.
-  Endpoint view_address{};      ///< Where other nodes get its view; empty: nowhere.
+  std::uint32_t link_mbps = 0;  ///< Speed of its network link; 0 if unknown.
+  Endpoint view_address{};      ///< Where other nodes fetch its view; empty if nowhere.
 
   bool operator==(const NodeRecord&) const = default;
 
--- a/src/discovery/node_registration.cc
+++ b/src/discovery/node_registration.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Of the delay after calls that failed; `max_retry_delay` bounds it besides.
+/// Doublings of the delay after failed calls, which is also limited by `max_retry_delay`.
 constexpr std::uint32_t kMaxRetryDoublings = 8;
 
 }  // namespace
@@ -71,18 +71,18 @@
   });
 }
 
-/// Under a new lease: the one before may be lost, and its number given to another node.
+/// Uses a new lease: the previous one may be lost and its number assigned to another node.
 void NodeRegistration::reregister() {
   lease_lost_ = true;
   if (left_) {
-    // Nothing to write schedule, and the lease's number may be another node's now.
+    // There is nothing to register again, and the lease number may belong to another node now.
     timer_.disarm();
     return;
   }
   if (timer_.armed()) {
     schedule(random_.part_of(settings_.period));
   }
-  // Else a call is under way, and what follows it is this.
+  // Otherwise a call is in progress, and its completion registers again.
 }
 
 void NodeRegistration::renew() {
@@ -131,8 +131,8 @@
   }
 }
 
-/// Again and schedule while the store is out: until the lease lapses, a node that starts is told by
-/// the store that this one is there.
+/// Retries while the store is unreachable: until the lease expires, the store lists this node to
+/// nodes that start.
 void NodeRegistration::end_lease() {
   if (!lease_) {
     return;
--- a/src/discovery/node_registration.h
+++ b/src/discovery/node_registration.h
@@ -1,4 +1,4 @@
-// Keeps this node registered in the store for as long as it takes requests.
+// Keeps this node registered in the store while it accepts requests.
 #pragma once
 
 #include <cstdint>
@@ -19,14 +19,13 @@
   Duration time_to_live{std::chrono::milliseconds(3000)};
   Duration period{std::chrono::milliseconds(1000)};
   Duration retry_delay{std::chrono::milliseconds(400)};
-  /// The delay doubles with each call that fails in a row, up to this: refused calls have their
-  /// price, and while the store is out every node makes them. 80 nodes made 3,893 calls in a day
-  /// with two outages of 8 and 9.7 s, 5,385 with 400 ms throughout (counted by the store, one play
-  /// each).
+  /// Upper limit of the delay, which doubles with each consecutive failed call. Rejected calls are
+  /// billed, and all nodes make them while the store is unreachable: 80 nodes made 3,893 calls in a
+  /// day with two outages of 8 s and 9.7 s, compared with 5,385 at a constant 400 ms.
   Duration max_retry_delay{std::chrono::milliseconds(1600)};
 };
 
-/// A lease with the node's record under it, renewed until leave(). A lapsed lease is replaced.
+/// Holds a lease with the node's record and renews it until leave(). An expired lease is replaced.
 class NodeRegistration {
  public:
   NodeRegistration(TimerService& timers, shared_store::SharedStore& store, logging::Logger& logger,
@@ -34,13 +33,13 @@
                    const NodeRecord& record);
 
   void start();
-  /// The store may have lost the record and its lease: both are made schedule, at some moment
-  /// within a period, lest a whole fleet writes at once.
+  /// Registers again under a new lease because the store may have lost both. This happens at a
+  /// random time within a period, so that not all nodes of a fleet write at once.
   void reregister();
-  /// Ends the lease, so that the others stop naming this node at once.
+  /// Ends the lease, so that other nodes stop advertising this node immediately.
   void leave();
 
-  /// When the record was last written; zero: never.
+  /// Returns the revision of the last registration; zero if there was none.
   shared_store::StoreRevision registered() const { return registered_; }
 
  private:
@@ -59,9 +58,10 @@
   Timer timer_;
   std::optional<shared_store::LeaseId> lease_;
   shared_store::StoreRevision registered_;
-  std::uint32_t failed_in_row_ = 0;  ///< Calls.
+  std::uint32_t failed_in_row_ = 0;  ///< Consecutive failed calls.
   bool published_ = false;
-  bool lease_lost_ = false;  ///< As far as is known: the store was set back.
+  /// The store was restored from an older copy and may have lost the lease.
+  bool lease_lost_ = false;
   bool left_ = false;
 };
 
--- a/src/discovery/refresh_waiters.cc
+++ b/src/discovery/refresh_waiters.cc
@@ -22,7 +22,7 @@
   const MonotonicTime deadline = clock_.now() + timeout_;
   timer_.arm(timeout_, [this, deadline] {
     if (clock_.now() - deadline > timeout_) {
-      // This node was held up itself: the complete may have come, and is read first.
+      // This node was suspended itself: an answer may already be waiting and is processed first.
       arm_timer();
     } else {
       on_timeout_();
--- a/src/discovery/refresh_waiters.h
+++ b/src/discovery/refresh_waiters.h
@@ -9,13 +9,13 @@
 
 namespace ochrespring::discovery {
 
-/// Whoever waits is told when it is known, or, after as long as anybody is to wait, that it is not.
-/// One loop.
+/// Calls each waiter back once the result is known, or with false after the timeout. Used on one
+/// event loop.
 class RefreshWaiters {
  public:
   using Done = std::function<void(bool current)>;
 
-  /// `on_timeout` is called before those who have waited for `timeout` are told.
+  /// `on_timeout` is called before the waiters that have timed out.
   RefreshWaiters(const Clock& clock, TimerService& timers, Duration timeout,
                  std::function<void()> on_timeout)
       : clock_(clock), timeout_(timeout), on_timeout_(std::move(on_timeout)), timer_(timers) {}
--- a/src/discovery/relay_table.h
+++ b/src/discovery/relay_table.h
@@ -1,4 +1,4 @@
-// Which nodes pass news on to the nodes of their zone.
+// Selects the nodes that relay broadcasts to the nodes of their zone.
 #pragma once
 
 #include <cstddef>
@@ -11,30 +11,32 @@
 namespace ochrespring::discovery {
 
 struct RelayOptions {
-  /// From this many nodes on news goes by relays; below, each node tells all others itself.
+  /// From this many nodes on, broadcasts are relayed; below, each node sends to all others
+  /// directly.
   std::uint32_t min_nodes = 0;
 };
 
-/// Two relays a zone, the same on all nodes that know the same nodes: those with the fastest links,
-/// and of these the first by rendezvous hashing, so that a node that comes or goes moves few
-/// relays. Each of the two passes on all that it is told, so that one that falls silent costs
-/// nothing but the news of its own turns.
+/// Selects two relays per zone, identically on all nodes that know the same nodes: those with the
+/// fastest links, and among these the first by rendezvous hashing, so that an added or removed node
+/// changes few relays. Each relay forwards everything it receives, so a silent one loses only its
+/// own broadcasts.
 ///
-/// A reader of the directory; one loop. Computed anew when the directory has changed.
+/// Reads the directory and is recomputed when the directory has changed. Used on one event loop.
 class RelayTable {
  public:
-  /// Per zone: one may fail while the other goes on.
+  /// One per zone may fail.
   static constexpr std::size_t kRelaysPerZone = 2;
 
   RelayTable(const NodeDirectory& nodes, RelayOptions options) : nodes_(nodes), options_(options) {}
 
-  /// Whether news goes by relays.
+  /// Returns whether broadcasts are relayed.
   bool in_use() const { return nodes_.count() >= options_.min_nodes; }
-  /// The relays of all zones, `kRelaysPerZone` of each in order of rank, fewer of a zone that has
-  /// fewer nodes; this node may be one.
+  /// Returns the relays of all zones, `kRelaysPerZone` of each in order of rank, or fewer for a
+  /// zone with fewer nodes. May include this node.
   const std::vector<std::vector<NodeRecord>>& relays() const;
-  /// The other nodes of this node's zone, those included whose registration went a short while ago:
-  /// while the store turns a third of the machines away they stay current by what they are told.
+  /// Returns the other nodes of this node's zone, including those whose registration was removed
+  /// recently: while the store rejects a third of the machines, these stay current through relayed
+  /// updates.
   const std::vector<NodeRecord>& zone_members() const;
 
  private:
@@ -42,7 +44,7 @@
 
   const NodeDirectory& nodes_;
   RelayOptions options_;
-  mutable std::uint64_t version_ = 0;  ///< Of the directory, at the last update.
+  mutable std::uint64_t version_ = 0;  ///< Version of the directory at the last update.
   mutable std::vector<std::vector<NodeRecord>> relays_;
   mutable std::vector<NodeRecord> zone_members_;
 };
--- a/src/discovery/tests/discovery_test.cc
+++ b/src/discovery/tests/discovery_test.cc
@@ -1,4 +1,4 @@
-// What a node believes of the fleet while the store is late, forgetful or out.
+// A node's view of the fleet while the store is slow, unreachable or has lost data.
 #include <doctest/doctest.h>
 
 #include <chrono>
@@ -50,13 +50,13 @@
   return {std::move(key), std::move(value), StoreRevision(revision)};
 }
 
-auto gone() {
-  return fail(StoreErrc::kHistoryUnavailable, "gone");
+auto history_unavailable() {
+  return fail(StoreErrc::kHistoryUnavailable, "history unavailable");
 }
 
 }  // namespace
 
-TEST_CASE("a listing and then changes keep the view up to date") {
+TEST_CASE("a listing followed by changes keeps the view up to date") {
   WatcherFixture fixture;
   fixture.watcher.start();
   fixture.list(10, {make_change("config", "3", 4), make_change("backends/b", "ready", 9)});
@@ -68,13 +68,13 @@
   CHECK(fixture.fleet.find(gateway::BackendId("b"))->draining);
   CHECK(fixture.version() == 5);
   fixture.advance(2s);
-  // The change at 12 is asked for, too: it tells whether the store is the one that was known.
+  // Also requests the change at 12, which shows whether the store is still in the same era.
   CHECK(fixture.store.changes_calls[0].after == StoreRevision(11));
   fixture.answer({make_change("config", "5", 12), make_change("backends/b", std::nullopt, 13)});
   CHECK(fixture.fleet.find(gateway::BackendId("b")) == nullptr);
 }
 
-TEST_CASE("an answer without changes does not move the point to go on from") {
+TEST_CASE("an answer without changes does not advance the revision to poll from") {
   WatcherFixture fixture;
   fixture.watcher.start();
   fixture.list(10, {});
@@ -84,12 +84,13 @@
   CHECK(fixture.store.changes_calls[0].after == StoreRevision(10));
 }
 
-TEST_CASE("a history that is gone is listed anew at once, and what left meanwhile is forgotten") {
+TEST_CASE(
+    "if the history is unavailable, the store is listed at once and absent entries are removed") {
   WatcherFixture fixture;
   fixture.watcher.start();
   fixture.list(10, {make_change("backends/b", "ready", 9), make_change("config", "3", 4)});
   fixture.advance(2s);
-  take(fixture.store.changes_calls).done(gone());
+  take(fixture.store.changes_calls).done(history_unavailable());
   REQUIRE(fixture.store.lists.size() == 1);
   fixture.list(50, {make_change("backends/c", "ready", 40), make_change("config", "4", 45)});
   CHECK(fixture.fleet.find(gateway::BackendId("b")) == nullptr);
@@ -97,18 +98,19 @@
   CHECK(fixture.version() == 4);
 }
 
-TEST_CASE("while the store is out the last view stays, and the store is asked again soon") {
+TEST_CASE(
+    "while the store is unreachable, the last view stays and the store is polled again soon") {
   WatcherFixture fixture;
   fixture.watcher.start();
   fixture.list(10, {make_change("config", "3", 4)});
   fixture.advance(2s);
-  take(fixture.store.changes_calls).done(fail(StoreErrc::kUnknownEffect, "silent"));
+  take(fixture.store.changes_calls).done(fail(StoreErrc::kUnknownEffect, "no answer"));
   CHECK(fixture.version() == 3);
   fixture.advance(400ms);
   CHECK(fixture.store.changes_calls.size() == 1);
 }
 
-TEST_CASE("a configuration that cannot be understood keeps the last good one, and is counted") {
+TEST_CASE("a configuration that cannot be parsed is counted and the last valid one stays") {
   WatcherFixture fixture;
   fixture.watcher.start();
   fixture.list(10, {make_change("config", "3", 4)});
@@ -118,7 +120,7 @@
   CHECK(fixture.watcher.rejected_values() == 1);
 }
 
-TEST_CASE("while the store does not answer, a refresh costs no look of its own") {
+TEST_CASE("while the store does not answer, a refresh does not start a poll") {
   WatcherFixture fixture;
   fixture.watcher.start();
   fixture.list(10, {make_change("config", "3", 4)});
@@ -135,18 +137,18 @@
     fixture.advance(10ms);
   }
   REQUIRE(fixture.store.changes_calls.size() == 1);
-  // The look that is under way anyway may tell.
+  // The poll that is running anyway may provide the answer.
   std::optional<bool> current;
   fixture.watcher.refresh([&](bool outcome) { current = outcome; });
   CHECK_FALSE(current);
-  // Nothing tells that the store which was out is the same: it is listed.
+  // Nothing shows that the store is in the same era after the outage, so it is listed.
   fixture.answer({});
   CHECK_FALSE(current);
   fixture.list(10, {make_change("config", "3", 4)});
   CHECK(current == true);
 }
 
-TEST_CASE("a refresh asks the store at once, and tells when it does not answer") {
+TEST_CASE("a refresh polls the store at once and fails if the store does not answer") {
   WatcherFixture fixture;
   fixture.watcher.start();
   fixture.list(10, {make_change("config", "3", 4)});
@@ -166,7 +168,7 @@
   CHECK(current == false);
 }
 
-TEST_CASE("nodes come and go with their registration; this one is named until it leaves") {
+TEST_CASE("nodes are listed while they are registered, and this node until it leaves") {
   WatcherFixture fixture;
   fixture.watcher.start();
   const NodeRecord other{NodeId("other"), Endpoint("2.2.2.2:2"), ZoneName("b"),
@@ -181,9 +183,9 @@
   CHECK(fixture.nodes.list().empty());
 }
 
-// Found by reading, for the fuzzing target of entries: whoever wrote such an entry took the node's
-// place, and its end left a record that nobody had written under the node's name.
-TEST_CASE("an entry that names another node than its key is nobody's registration") {
+// Guards against an entry under one key that names another node: it replaced that node's record,
+// and its removal left a record under the node's name that nobody had written.
+TEST_CASE("an entry that names another node than its key is rejected") {
   WatcherFixture fixture;
   fixture.watcher.start();
   const NodeRecord other{NodeId("other"), Endpoint("2.2.2.2:2"), ZoneName("b"),
@@ -199,7 +201,8 @@
   CHECK(fixture.watcher.rejected_values() == 2);
 }
 
-TEST_CASE("shares of what all nodes draw on err low while registrations come and go") {
+TEST_CASE(
+    "the conservative node count is an upper bound while registrations are added and removed") {
   simulation::VirtualTime time;
   NodeDirectory nodes(time, {NodeId("me"), Endpoint("1.1.1.1:1"), ZoneName("a"), Endpoint()});
   CHECK(nodes.conservative_count() == 8);
@@ -259,11 +262,11 @@
 TEST_CASE("a node that leaves ends its lease once the store answers") {
   RegistrationFixture fixture;
   fixture.register_node();
-  fixture.store.answers_ends = false;
+  fixture.store.accepts_lease_ends = false;
   fixture.registration.leave();
   fixture.advance(3s);
   CHECK(fixture.store.ended.size() > 3);
-  fixture.store.answers_ends = true;
+  fixture.store.accepts_lease_ends = true;
   fixture.advance(1s);
   const std::size_t tries = fixture.store.ended.size();
   fixture.advance(10s);
@@ -271,17 +274,18 @@
   CHECK(fixture.store.renewals.empty());
 }
 
-TEST_CASE("a lease that is over is replaced, and the record written again") {
+TEST_CASE("an expired lease is replaced and the record is written again") {
   RegistrationFixture fixture;
   fixture.register_node();
   fixture.advance(1100ms);
-  take(fixture.store.renewals)(fail(StoreErrc::kNotFound, "over"));
+  take(fixture.store.renewals)(fail(StoreErrc::kNotFound, "lease expired"));
   REQUIRE(fixture.store.grants.size() == 1);
   take(fixture.store.grants)(LeaseId(8));
   CHECK(fixture.store.puts.size() == 1);
 }
 
-TEST_CASE("a node registers anew, under a new lease, when the store has come back older") {
+TEST_CASE(
+    "a node registers again under a new lease after the store was restored from an older copy") {
   RegistrationFixture fixture;
   fixture.register_node();
   fixture.registration.reregister();
@@ -293,7 +297,7 @@
   CHECK(fixture.registration.registered() == StoreRevision(2, shared_store::StoreEra(1)));
 }
 
-TEST_CASE("a store that comes back while a renewal is under way is registered with after it") {
+TEST_CASE("a restore of the store during a renewal leads to a new registration after it") {
   RegistrationFixture fixture;
   fixture.register_node();
   fixture.advance(1100ms);
@@ -304,17 +308,17 @@
   CHECK(fixture.store.grants.size() == 1);
 }
 
-TEST_CASE("a renewal without an answer is tried again under the same lease") {
+TEST_CASE("a renewal without an answer is retried under the same lease") {
   RegistrationFixture fixture;
   fixture.register_node();
   fixture.advance(1100ms);
-  take(fixture.store.renewals)(fail(StoreErrc::kUnknownEffect, "lost"));
+  take(fixture.store.renewals)(fail(StoreErrc::kUnknownEffect, "no answer"));
   fixture.advance(500ms);
   CHECK(fixture.store.renewals.size() == 1);
   CHECK(fixture.store.grants.empty());
 }
 
-TEST_CASE("calls that fail in a row come ever more seldom, and a success forgets them") {
+TEST_CASE("the delay grows with consecutive failed calls and is reset by a success") {
   RegistrationFixture fixture;
   fixture.registration.start();
   int calls = 0;
@@ -326,7 +330,7 @@
     }
     fixture.advance(10ms);
   }
-  // 40 with 400 ms between them.
+  // 40 at a constant delay of 400 ms.
   CHECK(calls <= 13);
   CHECK(calls >= 10);
   fixture.advance(1700ms);
@@ -338,7 +342,7 @@
   CHECK(fixture.store.renewals.size() == 1);
 }
 
-TEST_CASE("a node that leaves while its lease is being granted gives it back") {
+TEST_CASE("a node that leaves while its lease is being granted ends the lease") {
   RegistrationFixture fixture;
   fixture.registration.start();
   fixture.registration.leave();
@@ -347,7 +351,7 @@
   CHECK(fixture.store.puts.empty());
 }
 
-TEST_CASE("a store that names its life with each answer is not listed for having been out") {
+TEST_CASE("a store that names its era in each answer is not listed after it was unreachable") {
   WatcherFixture fixture;
   fixture.store.names_its_era = true;
   fixture.watcher.start();
@@ -361,7 +365,8 @@
   CHECK(fixture.version() == 4);
 }
 
-TEST_CASE("a look that meets another change than was known lists the store, with what it missed") {
+TEST_CASE(
+    "a poll that finds another change than known lists the store and applies what it missed") {
   WatcherFixture fixture;
   fixture.watcher.start();
   fixture.list(10, {make_change("config", "3", 4), make_change("backends/b", "ready", 10)});
@@ -375,12 +380,12 @@
   CHECK(fixture.watcher.statistics().unannounced_eras == 1);
 }
 
-TEST_CASE("a place that the store has forgotten is not asked for again and again") {
+TEST_CASE("a position that the store no longer keeps is not requested again") {
   WatcherFixture fixture;
   fixture.watcher.start();
   fixture.list(10, {make_change("config", "3", 10)});
   fixture.advance(2s);
-  take(fixture.store.changes_calls).done(gone());
+  take(fixture.store.changes_calls).done(history_unavailable());
   REQUIRE(fixture.store.changes_calls.size() == 1);
   CHECK(fixture.store.changes_calls[0].after == StoreRevision(10));
   fixture.answer({});
--- a/src/discovery/tests/era_check_test.cc
+++ b/src/discovery/tests/era_check_test.cc
@@ -1,4 +1,4 @@
-// Which position_at a look asks for, and when nothing tells whether the store is the same.
+// The position to verify by a poll, and when it is unknown whether the store is in the same era.
 #include "discovery/era_check.h"
 
 #include <doctest/doctest.h>
@@ -29,14 +29,14 @@
 
 }  // namespace
 
-TEST_CASE("while looks are answered the newest position_at is asked for") {
+TEST_CASE("while polls are answered, the newest position is verified") {
   EraCheck era_check;
   CHECK(era_check.position_to_verify(position_at(7), StoreEra()) == position_at(7));
   CHECK_FALSE(era_check.position_to_verify({}, StoreEra()));
   CHECK_FALSE(era_check.is_pending());
 }
 
-TEST_CASE("after a failed look the position_at of then is asked for, until a look is answered") {
+TEST_CASE("after a failed poll, the position known then is verified until a poll is answered") {
   EraCheck era_check;
   era_check.note_failed(at(1s), position_at(7));
   era_check.note_failed(at(2s), position_at(8));
@@ -47,14 +47,15 @@
   CHECK(era_check.position_to_verify(position_at(9), StoreEra()) == position_at(9));
 }
 
-TEST_CASE("a position_at of an era that has ended is not asked for") {
+TEST_CASE("a position of an era that has ended is not verified") {
   EraCheck era_check;
   era_check.note_failed(at(1s), position_at(7));
   CHECK_FALSE(era_check.position_to_verify({}, StoreEra(1)));
 }
 
 TEST_CASE(
-    "an answer that does not tell leaves it open, a view known since to be current does not") {
+    "an inconclusive answer leaves the check pending, a view known to be current since completes "
+    "it") {
   EraCheck era_check;
   era_check.note_failed(at(1s), {});
   CHECK(era_check.check({}, {change_at(8, "x")}) == PositionCheck::kUnknown);
@@ -65,7 +66,7 @@
   CHECK_FALSE(era_check.is_pending());
 }
 
-TEST_CASE("where another node knows another change the own one is asked for") {
+TEST_CASE("if another node knows a different change, this node's own position is verified") {
   EraCheck era_check;
   era_check.note_failed(at(1s), position_at(7));
   era_check.note_conflict(at(2s), position_at(9));
--- a/src/discovery/tests/fleet_lister_test.cc
+++ b/src/discovery/tests/fleet_lister_test.cc
@@ -1,4 +1,4 @@
-// Listings of the whole store in ranges, with pages that fail.
+// Listings of the whole store in ranges, with failing pages.
 #include "discovery/fleet_lister.h"
 
 #include <doctest/doctest.h>
@@ -26,7 +26,8 @@
 
 namespace {
 
-/// Pages of some keys; every call takes a millisecond, and those that are received to fail do.
+/// Serves pages of a set of keys. Every call takes a millisecond; the first `failures_left` calls
+/// fail.
 class PagedStore final : public testing::StubStore {
  public:
   PagedStore(simulation::VirtualTime& time, std::set<std::string> keys, std::size_t page_items)
@@ -98,14 +99,14 @@
 
 }  // namespace
 
-TEST_CASE("wherever the ranges end, each key is listed once and in order") {
+TEST_CASE("each key is listed once and in order, whatever the boundaries of the ranges") {
   CHECK(rc::check([] {
     const int keys = *rc::gen::inRange(0, 120);
     ListerFixture fixture(keys, *rc::gen::inRange<std::size_t>(1, 30));
     std::set<std::string> ends;
     const int count = *rc::gen::inRange(0, 9);
     for (int i = 0; i != count; ++i) {
-      // Ends need not be keys that there are, nor before the last one.
+      // Boundaries need not be existing keys and may lie after the last one.
       ends.insert(key_of(*rc::gen::inRange(0, 140)));
     }
     fixture.list({ends.begin(), ends.end()});
@@ -121,14 +122,14 @@
   }));
 }
 
-TEST_CASE("ranges are listed side by side") {
+TEST_CASE("ranges are listed concurrently") {
   ListerFixture fixture(100);
   fixture.list({key_of(24), key_of(49), key_of(74)});
   CHECK(fixture.store.most_open == 4);
   CHECK(fixture.kept->value().items.size() == 100);
 }
 
-TEST_CASE("a page that fails is asked for again, and those before it are kept") {
+TEST_CASE("a failed page is retried and the pages before it are kept") {
   ListerFixture fixture(100);
   fixture.store.failures_left = 2;
   fixture.list({});
@@ -136,7 +137,7 @@
   CHECK(fixture.store.calls == 12);
 }
 
-TEST_CASE("a store that goes on failing fails the listing, with its own error, once") {
+TEST_CASE("if the store keeps failing, the listing fails once with the error of the store") {
   ListerFixture fixture(100);
   fixture.store.failures_left = 1000;
   fixture.list({key_of(49)});
@@ -146,7 +147,7 @@
   CHECK(fixture.store.calls <= 6);
 }
 
-TEST_CASE("a listing goes on behind a page that has been read") {
+TEST_CASE("a listing continues after a page that has already been read") {
   ListerFixture fixture(30);
   ListPage first{{{key_of(0), "value", StoreRevision(1)}, {key_of(1), "value", StoreRevision(1)}},
                  true,
@@ -157,7 +158,7 @@
   CHECK(fixture.kept->value().revision == StoreRevision(5));
 }
 
-TEST_CASE("a listing that is dropped calls nobody back") {
+TEST_CASE("a cancelled listing does not call back") {
   ListerFixture fixture(100);
   bool called = false;
   fixture.lister.start({}, [&](const auto&) { called = true; });
@@ -169,9 +170,9 @@
   CHECK(fixture.kept->value().items.size() == 100);
 }
 
-// The retry's callback owned the listing that owned the timer: nodes that were killed while a page
-// waited for its retry freed both twice.
-TEST_CASE("a listing that is dropped while a page waits for its retry is gone at once") {
+// Guards against a reference cycle: the retry callback owned the run that owned the timer, and
+// nodes terminated while a page waited for its retry freed both twice.
+TEST_CASE("a listing cancelled while a page waits for its retry is freed immediately") {
   ListerFixture fixture(5);
   fixture.store.failures_left = 1;
   const auto token = std::make_shared<int>(0);
--- a/src/discovery/tests/known_history_test.cc
+++ b/src/discovery/tests/known_history_test.cc
@@ -1,4 +1,4 @@
-// A look after an outage asks for enough to notice lost changes, and for no more than is bounded.
+// A poll after an outage requests enough history to detect lost changes, within limits.
 #include "discovery/known_history.h"
 
 #include <doctest/doctest.h>
@@ -33,7 +33,7 @@
 
 }  // namespace
 
-TEST_CASE("a look begins where the oldest span does, and finds a change replaced in any of them") {
+TEST_CASE("history begins at its oldest span, and a replaced change in any span is detected") {
   KnownHistory history;
   CHECK_FALSE(history.begin());
   history.note(span(6, 7), at(1s));
@@ -45,13 +45,13 @@
                             {change_at(5, "w"), change_at(6, "v"), change_at(7, "v")}));
 }
 
-TEST_CASE("a span that begins before the look cannot be compared") {
+TEST_CASE("a span that begins before the poll is not compared") {
   KnownHistory history;
   history.note(span(4, 6), at(1s));
   CHECK_FALSE(history.contradicts(StoreRevision(5), {change_at(6, "v")}));
 }
 
-TEST_CASE("the store is not asked for more than it keeps, nor for more than an answer may hold") {
+TEST_CASE("history is limited to what the store keeps and to the maximum size of an answer") {
   KnownHistory history;
   history.note(span(4, 6), at(1s));
   history.note(span(6, 8), at(10s));
@@ -65,7 +65,7 @@
   CHECK(history.begin() == StoreRevision(936));
 }
 
-TEST_CASE("spans of another life, and spans that cannot be, are not compared") {
+TEST_CASE("spans of another era and invalid spans are not compared") {
   KnownHistory history;
   history.note({.after = StoreRevision(9), .through = StoreRevision(9), .digest = 1}, at(1s));
   history.note({.after = StoreRevision(9), .through = StoreRevision(4), .digest = 1}, at(1s));
--- a/src/discovery/tests/listing_comparison_test.cc
+++ b/src/discovery/tests/listing_comparison_test.cc
@@ -1,4 +1,4 @@
-// What a listing adds to a view that exists, and what it must not take away.
+// What a listing changes in an existing view, and what it must not undo.
 #include "discovery/listing_comparison.h"
 
 #include <doctest/doctest.h>
@@ -63,10 +63,10 @@
 
 }  // namespace
 
-TEST_CASE("what a listing shows to have changed is received to those who have seen as much") {
+TEST_CASE("differences found by a listing are applied by nodes that have seen as much") {
   WriterFixture lister;
   WriterFixture receiver;
-  // The history is gone: a drains since 20, b has gone, d has come.
+  // The history is unavailable: a has been draining since 20, b was removed, d was added.
   const Listing listing{
       {WriterFixture::item("config", "3", 4), WriterFixture::item("backends/a", "draining", 20),
        WriterFixture::item("backends/c", "ready", 39),
@@ -86,7 +86,7 @@
   CHECK(receiver.knows("d"));
 }
 
-TEST_CASE("a configuration in a listing is not received, and who has not seen it has to fetch") {
+TEST_CASE("a configuration found by a listing is not broadcast and has to be fetched") {
   WriterFixture lister;
   WriterFixture receiver;
   CHECK(lister.writer.apply_listing(
@@ -97,7 +97,7 @@
   CHECK(receiver.writer.apply_update(lister.writer.make_updates(5ms).at(0)) ==
         UpdateOutcome::kSkipped);
   const auto transfer = lister.writer.make_transfer(receiver.writer.seen_revision());
-  // Without the time as of which it is current a view is not handed on.
+  // A view is not sent before it is known at which time it was current.
   CHECK_FALSE(transfer);
   lister.fleet.note_current(lister.time.now());
   const auto current = lister.writer.make_transfer(receiver.writer.seen_revision());
@@ -108,14 +108,14 @@
   CHECK(receiver.writer.seen_revision() == StoreRevision(40));
 }
 
-TEST_CASE("a listing that began before other nodes' news does not undo them") {
+TEST_CASE("a listing that began before other nodes' updates does not undo them") {
   WriterFixture fixture;
   CHECK(fixture.writer.apply_update(fixture.update(10, 20, {make_draining("a", 15)})) ==
         UpdateOutcome::kApplied);
   CHECK(fixture.writer.apply_update(fixture.update(
             20, 25, {BackendChange{StoreRevision(22), gateway::BackendId("c"), std::nullopt}})) ==
         UpdateOutcome::kApplied);
-  // Listed as of 12: a still ready, c still there; b has gone, which nobody received.
+  // Listed as of 12: a is still ready and c still present; b was removed, which no node reported.
   CHECK(fixture.writer.apply_listing({{WriterFixture::item("backends/a", "ready", 5),
                                        WriterFixture::item("backends/c", "ready", 7)},
                                       StoreRevision(12)}));
@@ -125,16 +125,15 @@
   CHECK(fixture.writer.seen_revision() == StoreRevision(25));
 }
 
-TEST_CASE("a listing from before all that is remembered is of no use") {
+TEST_CASE("a listing older than the log is not applied") {
   WriterFixture fixture;
   CHECK_FALSE(fixture.writer.apply_listing({{}, StoreRevision(8)}));
   CHECK(fixture.knows("a"));
 }
 
-TEST_CASE(
-    "a later page that is newer than the listing is received on when its change comes again") {
+TEST_CASE("a change found by a later page of a listing is broadcast when a poll finds it again") {
   WriterFixture lister;
-  // Both pages are of one listing as of 40; by the second one b had begun to drain.
+  // Both pages belong to a listing as of 40; b began to drain before the second page was read.
   CHECK(lister.writer.apply_listing(
       {{WriterFixture::item("config", "3", 4), WriterFixture::item("backends/a", "ready", 5),
         WriterFixture::item("backends/b", "draining", 45),
@@ -143,7 +142,7 @@
   CHECK(lister.writer.seen_revision() == StoreRevision(40));
   (void)lister.writer.make_updates(5ms);
   WriterFixture receiver;
-  // Another node received this one of everything up to 42.
+  // Another node has sent this one everything up to 42.
   CHECK(receiver.writer.apply_update(receiver.update(10, 42, {})) == UpdateOutcome::kApplied);
   lister.writer.apply_changes({{WriterFixture::item("backends/b", "draining", 45)}});
   CHECK(receiver.writer.apply_update(lister.writer.make_updates(5ms).back()) ==
@@ -152,7 +151,7 @@
 }
 
 TEST_CASE(
-    "whatever changed while nobody could tell, a listing brings the lister and its hearers up") {
+    "a listing brings the lister and the receivers of its updates up to date after any changes") {
   CHECK(rc::check([](const std::vector<std::pair<std::uint8_t, std::uint8_t>>& steps) {
     WriterFixture lister;
     WriterFixture receiver;
--- a/src/discovery/tests/node_directory_test.cc
+++ b/src/discovery/tests/node_directory_test.cc
@@ -1,4 +1,4 @@
-// Whom a node sends callers to.
+// The nodes to which a node directs its callers.
 #include "discovery/node_directory.h"
 
 #include <doctest/doctest.h>
@@ -46,9 +46,9 @@
 
 }  // namespace
 
-// At 985 nodes users waited seconds although nearly all machines were idle: every answer of the
-// directory named the same 64.
-TEST_CASE("the nodes of a large fleet together send callers to all of them alike") {
+// Guards against every node of a large fleet returning the same targets: at 985 nodes, callers
+// waited for seconds while nearly all machines were idle, because every answer named the same 64.
+TEST_CASE("the nodes of a large fleet together direct callers evenly to all nodes") {
   simulation::VirtualTime time;
   constexpr int kNodes = 600;
   std::map<NodeId, int> named;
@@ -66,23 +66,23 @@
   }
 }
 
-TEST_CASE("a node that goes, or comes, changes one name at most, so that callers stay") {
+TEST_CASE("adding or removing a node changes at most one caller target") {
   simulation::VirtualTime time;
   NodeDirectory directory = make_directory(time, 0, 400);
   std::set<NodeId> before = names_of(directory);
   for (int i = 1; i != 60; ++i) {
-    const NodeId gone = make_record(i).node;
-    directory.remove(gone);
+    const NodeId removed = make_record(i).node;
+    directory.remove(removed);
     const std::set<NodeId> after = names_of(directory);
     std::vector<NodeId> kept;
     std::set_intersection(before.begin(), before.end(), after.begin(), after.end(),
                           std::back_inserter(kept));
-    CHECK(kept.size() == kMaxTargets - (before.contains(gone) ? 1 : 0));
+    CHECK(kept.size() == kMaxTargets - (before.contains(removed) ? 1 : 0));
     before = after;
   }
 }
 
-TEST_CASE("a small fleet is named whole, and without a node that leaves") {
+TEST_CASE("all nodes of a small fleet are caller targets except a node that leaves") {
   simulation::VirtualTime time;
   NodeDirectory directory = make_directory(time, 3, 40);
   CHECK(names_of(directory).size() == 40);
@@ -91,7 +91,8 @@
   CHECK_FALSE(names_of(directory).contains(make_record(3).node));
 }
 
-TEST_CASE("a node that started again is not hidden for good by a late word of the process before") {
+TEST_CASE(
+    "a restarted node is not hidden permanently by a late leaving notice of its previous process") {
   simulation::VirtualTime time;
   NodeDirectory directory(time, make_record(0));
   directory.put(make_record(1), shared_store::StoreRevision(74));
@@ -103,7 +104,7 @@
   CHECK(directory.count() == 2);
 }
 
-TEST_CASE("a node that is gone from the store is not admitted after its word is over") {
+TEST_CASE("a node removed from the store is not readmitted after its leaving notice has expired") {
   simulation::VirtualTime time;
   NodeDirectory directory(time, make_record(0));
   directory.put(make_record(1), shared_store::StoreRevision(74));
--- a/src/discovery/tests/plain_codec.h
+++ b/src/discovery/tests/plain_codec.h
@@ -1,4 +1,4 @@
-// Documents of the store in a form of the tests' own.
+// A simple encoding of store entries for tests.
 #pragma once
 
 #include <cstdint>
@@ -11,8 +11,8 @@
 
 namespace ochrespring::discovery::testing {
 
-/// Values are a number (configuration) or `ready`/`draining`, with `@BORN` behind it where lives
-/// are told apart (back ends); `broken` is neither.
+/// Configurations are numbers. Back ends are `ready` or `draining`, followed by `@BORN` if their
+/// incarnations are distinguished. `broken` cannot be parsed as either.
 class PlainCodec final : public FleetCodec {
  public:
   const StoreLayout& layout() const override { return layout_; }
--- a/src/discovery/tests/poll_schedule_test.cc
+++ b/src/discovery/tests/poll_schedule_test.cc
@@ -1,4 +1,4 @@
-// Who looks at the store, and when.
+// Which nodes poll the store, and when.
 #include "discovery/poll_schedule.h"
 
 #include <doctest/doctest.h>
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-TEST_CASE("readers look one after the other, each only if those before it were silent") {
+TEST_CASE("readers poll in order of rank, each only if those before it were silent") {
   const FleetWatcherSettings settings = settings_for_staleness_bound(5s);
   Duration last{};
   for (std::uint32_t rank = 0; rank != 7; ++rank) {
@@ -30,14 +30,14 @@
     CHECK(wait - last >= 200ms);
     last = wait;
   }
-  // However many zones, the last reader still looks in time.
+  // Regardless of the number of zones, the last reader still polls in time.
   CHECK(poll_delay(settings, reader(200), 985, 0.5) <= settings.period);
 }
 
-TEST_CASE("a fleet of any size leaves time to list the store and to try again") {
+TEST_CASE("a fleet of any size has time to list the store and to retry") {
   for (const Duration bound : {Duration(2s), Duration(4s), Duration(5s), Duration(18s)}) {
     const FleetWatcherSettings settings = settings_for_staleness_bound(bound);
-    // Three dead readers before one that lists for a fifth of the bound.
+    // Three terminated readers, followed by one that lists for a fifth of the bound.
     const Duration report_time = poll_delay(settings, reader(3), 2000, 0.99) + bound / 5;
     CHECK(report_time < bound * 6 / 10);
     CHECK(poll_delay(settings, follower(), 2000, 0.99) < bound * 6 / 10);
@@ -46,7 +46,7 @@
   }
 }
 
-TEST_CASE("a node that starts leaves the listing to others the longer the more there are") {
+TEST_CASE("the delay before a starting node lists the store grows with the number of nodes") {
   FleetWatcherSettings settings = settings_for_staleness_bound(5s);
   CHECK(listing_delay(settings, 2, 0.5) <= 60ms);
   CHECK(listing_delay(settings, 200, 0.0) >= 3s);
@@ -55,7 +55,7 @@
   CHECK(listing_delay(settings, 20'000, 1.0) == Duration::zero());
 }
 
-TEST_CASE("failed looks come seldomer, in a large fleet more so, and within a bound") {
+TEST_CASE("the delay after failed polls grows with their number and the fleet, up to a limit") {
   const FleetWatcherSettings settings = settings_for_staleness_bound(5s);
   CHECK(failed_poll_delay(settings, 1, 7, 1.0) <= 600ms);
   CHECK(failed_poll_delay(settings, 9, 7, 1.0) <= 1200ms);
--- a/src/discovery/tests/relay_table_test.cc
+++ b/src/discovery/tests/relay_table_test.cc
@@ -1,5 +1,5 @@
-// Relays of a zone: chosen alike by all nodes, by link first, and few change when a node comes or
-// goes.
+// Relays of a zone are selected identically by all nodes and by link speed first, and few of them
+// change when a node is added or removed.
 #include "discovery/relay_table.h"
 
 #include <doctest/doctest.h>
@@ -31,7 +31,7 @@
   return fleet;
 }
 
-/// What one of the nodes believes when it knows all of `fleet`.
+/// A node that knows all of `fleet`.
 struct FixedViewNode {
   FixedViewNode(const Clock& clock, const NodeRecord& self, const std::vector<NodeRecord>& fleet,
                 RelayOptions options = {})
@@ -55,7 +55,7 @@
 
 }  // namespace
 
-TEST_CASE("all nodes that know the same fleet name the same two relays in each zone") {
+TEST_CASE("all nodes that know the same fleet select the same two relays in each zone") {
   simulation::VirtualTime time;
   const auto fleet = make_fleet(10);
   std::vector<std::vector<std::vector<NodeRecord>>> tables;
@@ -72,7 +72,7 @@
                     [&](const auto& table) { return table == tables.front(); }));
 }
 
-TEST_CASE("the nodes with the fastest links relay") {
+TEST_CASE("the nodes with the fastest links are relays") {
   simulation::VirtualTime time;
   auto fleet = make_fleet(10);
   fleet.push_back(make_node(90, "b", 200));
@@ -83,22 +83,22 @@
   CHECK(names.contains("b-91"));
 }
 
-TEST_CASE("a node that goes changes the relays only if it was one") {
+TEST_CASE("removing a node changes the relays only if it was one") {
   simulation::VirtualTime time;
   const auto fleet = make_fleet(10);
   FixedViewNode node(time, fleet.front(), fleet);
   const auto before = names_of(node.table.relays());
-  for (const NodeRecord& gone : fleet) {
-    if (gone.node == fleet.front().node) {
+  for (const NodeRecord& removed : fleet) {
+    if (removed.node == fleet.front().node) {
       continue;
     }
-    node.nodes.remove(gone.node);
+    node.nodes.remove(removed.node);
     const auto now = names_of(node.table.relays());
     std::vector<std::string> kept;
     std::set_intersection(before.begin(), before.end(), now.begin(), now.end(),
                           std::back_inserter(kept));
-    CHECK(kept.size() == (before.contains(gone.node.value()) ? 5 : 6));
-    node.nodes.put(gone);
+    CHECK(kept.size() == (before.contains(removed.node.value()) ? 5 : 6));
+    node.nodes.put(removed);
     CHECK(names_of(node.table.relays()) == before);
   }
 }
--- a/src/discovery/tests/restarted_backend_test.cc
+++ b/src/discovery/tests/restarted_backend_test.cc
@@ -1,5 +1,5 @@
-// A back end that starts again under its name is another one, and an entry that cannot be
-// understood names none. The others hold either way.
+// A back end restarted under the same name is a different one, and an entry that cannot be parsed
+// names no back end. Other back ends are unaffected.
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
@@ -56,19 +56,19 @@
 
 }  // namespace
 
-TEST_CASE("a back end born again takes the place of its life before, whatever its clock says") {
+TEST_CASE("a restarted back end replaces its previous incarnation, whatever its start time") {
   Node node;
   node.list(3, {entry("a", "draining@500", 1), entry("ab", "ready@7", 2)});
   node.change(entry("a", "ready@400", 4));
   CHECK(node.known() == Ids{"a@400", "ab@7"});
   CHECK(node.removed == std::vector{BackendId("a@500")});
-  // That the life before left says nothing of this one.
+  // The previous incarnation's leaving does not apply to this one.
   CHECK_FALSE(node.fleet.is_leaving(*node.fleet.find(BackendId("a@400"))));
   node.change(entry("a", std::nullopt, 5));
   CHECK(node.known() == Ids{"ab@7"});
 }
 
-TEST_CASE("a restart that was never seen as a change is found by a listing") {
+TEST_CASE("a restart that was not seen as a change is detected by a listing") {
   Node node;
   node.list(3, {entry("a", "ready@500", 1)});
   node.list(9, {entry("a", "ready@600", 8)});
@@ -76,21 +76,20 @@
   CHECK(node.removed == std::vector{BackendId("a@500")});
 }
 
-TEST_CASE("nodes that are received by others know the new life alone, too") {
+TEST_CASE("nodes that receive updates know only the new incarnation, too") {
   Node poller;
-  Node received;
+  Node receiver;
   poller.list(3, {entry("a", "ready@500", 1)});
-  received.list(3, {entry("a", "ready@500", 1)});
+  receiver.list(3, {entry("a", "ready@500", 1)});
   poller.change(entry("a", "ready@600", 4));
   poller.fleet.note_current(poller.time.now());
   for (const ViewUpdate& update : poller.writer.make_updates({})) {
-    CHECK(received.writer.apply_update(update) == UpdateOutcome::kApplied);
+    CHECK(receiver.writer.apply_update(update) == UpdateOutcome::kApplied);
   }
-  CHECK(received.known() == Ids{"a@600"});
+  CHECK(receiver.known() == Ids{"a@600"});
 }
 
-TEST_CASE(
-    "an entry that cannot be understood names no back end, and one that was good none either") {
+TEST_CASE("an entry that cannot be parsed names no back end, even if it was valid before") {
   Node node;
   node.list(3, {entry("a", "ready", 1), entry("b", "broken", 2)});
   CHECK(node.known() == Ids{"a"});
@@ -103,7 +102,7 @@
   CHECK(node.known() == Ids{"a", "c"});
 }
 
-TEST_CASE("whatever one entry holds, the view of the others is the same") {
+TEST_CASE("the content of one entry does not affect the other back ends") {
   CHECK(rc::check([](const std::string& name, const std::string& bytes) {
     Node node;
     const std::string value = bytes.find('@') == std::string::npos ? bytes : "broken";
--- a/src/discovery/tests/shared_polls_test.cc
+++ b/src/discovery/tests/shared_polls_test.cc
@@ -1,4 +1,4 @@
-// Nodes that share their looks at the store see what they would have seen themselves.
+// Nodes that share their polls have the same view as if each had polled the store itself.
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
@@ -32,9 +32,9 @@
 
 namespace {
 
-using View = std::map<std::string, bool>;  ///< Back end to whether it is draining.
+using View = std::map<std::string, bool>;  ///< Maps each back end to whether it is draining.
 
-/// A store that remembers how it was at each revision, and may be set back to one.
+/// A store that keeps its state at each revision and can be restored to it.
 class VersionedStore {
  public:
   VersionedStore() { past_[now_] = {}; }
@@ -49,12 +49,12 @@
     state_.written[backend] = now_.value();
     past_[now_] = state_;
   }
-  /// Comes back as it was so many changes ago, in another life.
+  /// Restores the state before the last `changes` changes and begins a new era.
   void restore(std::uint64_t changes) {
     const std::uint64_t number = now_.value() - std::min(changes, now_.value());
     state_ = past_.at(StoreRevision(number, now_.era()));
     const shared_store::StoreEra era = now_.era().next();
-    // What the life before had up to there is the beginning of this one.
+    // The history of the previous era up to there is part of the new one.
     for (std::uint64_t i = 0; i <= number; ++i) {
       past_[StoreRevision(i, era)] = past_.at(StoreRevision(i, now_.era()));
     }
@@ -68,7 +68,8 @@
     }
     return listing;
   }
-  /// Only the last change of each key, as a store tells it; none: of another life.
+  /// Returns only the last change of each key, like a real store; nullopt if `after` is of another
+  /// era.
   std::optional<Changes> changes_after(StoreRevision after) const {
     if (after.era() != now_.era()) {
       return std::nullopt;
@@ -91,7 +92,7 @@
  private:
   struct State {
     View view;
-    std::map<std::string, std::uint64_t> written;  ///< Numbers of the last changes.
+    std::map<std::string, std::uint64_t> written;  ///< Revisions of the last changes.
   };
 
   Change item(const std::string& backend, std::uint64_t number) const {
@@ -132,7 +133,8 @@
 
 }  // namespace
 
-TEST_CASE("a view that is kept up by others' looks is the store's, whatever updates are lost") {
+TEST_CASE(
+    "a view kept up to date by other nodes' polls matches the store whichever updates are lost") {
   CHECK(rc::check([](const std::vector<std::pair<std::uint8_t, std::uint8_t>>& steps) {
     simulation::VirtualTime time;
     const PlainCodec codec;
@@ -175,7 +177,7 @@
   }));
 }
 
-TEST_CASE("however often the store is set back, a view is the store's as it was in some life") {
+TEST_CASE("after any number of restores, a view matches the state of the store in some era") {
   CHECK(rc::check([](const std::vector<std::pair<std::uint8_t, std::uint8_t>>& steps) {
     simulation::VirtualTime time;
     const PlainCodec codec;
@@ -186,7 +188,7 @@
       nodes.push_back(std::make_unique<ViewingNode>(time, codec, logger));
       nodes.back()->writer.apply_listing(store.list());
     }
-    std::vector<ViewUpdate> late;  ///< Come again, in whatever life of the store.
+    std::vector<ViewUpdate> late;  ///< Delivered again later, in any store era.
     for (const auto& [what, choice] : steps) {
       time.run_until(time.now() + 400ms);
       const std::string backend(1, static_cast<char>('a' + choice % 3));
@@ -236,14 +238,14 @@
   }));
 }
 
-TEST_CASE("a log that is too long or too old tells less, and says from where on") {
+TEST_CASE("a log that is too long or too old offers fewer changes and a later start revision") {
   ChangeLog log;
   const MonotonicTime start{};
   log.reset(StoreRevision(10));
   for (std::uint64_t revision = 11; revision != 3099; ++revision) {
     log.note(make_backend_change("b", revision), start);
   }
-  // Too much to tell: only who has seen it all can join.
+  // Too many changes to send: only nodes that have seen all of them can apply the update.
   const std::vector<ViewUpdate> all = log.make_updates(start, 0ms);
   REQUIRE(all.size() == 1);
   CHECK(all[0].after == StoreRevision(3098));
@@ -264,13 +266,13 @@
   CHECK(without_configuration[0].changes.empty());
 }
 
-TEST_CASE("more changes than fit into one update go out in several, each joining the one before") {
+TEST_CASE("changes that exceed one update are split into consecutive updates") {
   ChangeLog log;
   log.reset(StoreRevision(10));
   for (std::uint64_t revision = 11; revision != 71; ++revision) {
     log.note(make_backend_change("b", revision), {});
   }
-  // One transaction changes many keys at one revision: they stay together.
+  // A transaction changes many keys at one revision; they stay together.
   for (int key = 0; key != 30; ++key) {
     log.note(make_backend_change("t" + std::to_string(key), 80), {});
   }
@@ -291,12 +293,12 @@
   CHECK(changes == 90);
 }
 
-TEST_CASE("what changed since a revision is received once a key, as it was changed last") {
+TEST_CASE("changes since a revision contain each key once, with its last change") {
   ChangeLog log;
   log.reset(StoreRevision(10));
   log.note(make_backend_change("a", 11), {});
   log.note(make_backend_change("b", 12), {});
-  // A node and a back end may bear the same name.
+  // A node and a back end may have the same name.
   log.note(NodeChange{StoreRevision(13), NodeId("a"), std::nullopt}, {});
   log.note(BackendChange{StoreRevision(14), gateway::BackendId("a"), std::nullopt}, {});
   CHECK(log.changes_since(StoreRevision(14)).empty());
@@ -308,7 +310,7 @@
   CHECK(log.changes_since(StoreRevision(10)).size() == 3);
 }
 
-TEST_CASE("a log that is too long forgets its oldest changes") {
+TEST_CASE("a log that is too long drops its oldest changes") {
   ChangeLog log;
   log.reset(StoreRevision(10));
   for (std::uint64_t revision = 11; revision != 20'011; ++revision) {
@@ -319,7 +321,7 @@
   CHECK(log.changes_since(StoreRevision(20'010 - 16'384)).size() == 16'384);
 }
 
-TEST_CASE("what the last look but one has received is not received again") {
+TEST_CASE("changes announced by the last but one poll are not announced again") {
   ChangeLog log;
   log.reset(StoreRevision(10));
   for (std::uint64_t revision = 11; revision != 31; ++revision) {
@@ -328,7 +330,7 @@
       log.note_announced(StoreRevision(revision));
     }
   }
-  // Told by two nodes, the older one late: the order of the looks counts.
+  // Announced by two nodes, the older one late; the order of revisions counts.
   log.note_announced(StoreRevision(20));
   const std::vector<ViewUpdate> updates = log.make_updates({}, 0ms);
   REQUIRE(updates.size() == 1);
@@ -337,14 +339,12 @@
   CHECK(updates[0].changes.size() == 15);
 }
 
-TEST_CASE(
-    "a listing whose pages are newer than its beginning is not compared before it is caught up "
-    "with") {
+TEST_CASE("a listing with newer pages is not compared until the view has caught up with them") {
   simulation::VirtualTime time;
   const PlainCodec codec;
   logging::NullLogger logger;
   ViewingNode lister(time, codec, logger);
-  // The second page shows a change that was made after the first was read.
+  // The second page shows a change made after the first page was read.
   lister.writer.apply_listing(
       {{{"backends/a", "ready", StoreRevision(4)}, {"backends/b", "draining", StoreRevision(15)}},
        StoreRevision(10)});
@@ -359,7 +359,7 @@
   CHECK(lister.writer.apply_update(update) == UpdateOutcome::kMismatch);
 }
 
-TEST_CASE("a long log tells what the last looks have not, if that is little") {
+TEST_CASE("a long log announces the changes since the last polls if they are few") {
   ChangeLog log;
   log.reset(StoreRevision(10));
   for (std::uint64_t revision = 11; revision != 3099; ++revision) {
@@ -373,7 +373,7 @@
   CHECK(rest.back().through == StoreRevision(3098));
 }
 
-TEST_CASE("a node that misses one of several updates does not take those behind it for whole") {
+TEST_CASE("a node that misses one of several updates skips the following ones") {
   simulation::VirtualTime time;
   const PlainCodec codec;
   logging::NullLogger logger;
@@ -396,7 +396,7 @@
   CHECK(receiver.view() == poller.view());
 }
 
-TEST_CASE("an update fits into a datagram and comes through it whole") {
+TEST_CASE("an update fits into a datagram and is decoded completely") {
   ChangeLog log;
   log.reset(StoreRevision(0));
   for (std::uint64_t revision = 1; revision != 40; ++revision) {
@@ -444,7 +444,7 @@
 
 }  // namespace
 
-TEST_CASE("while others look, this node does not; when they fall silent, it does in time") {
+TEST_CASE("a node does not poll while others do, and polls in time when they are silent") {
   SharingFixture fixture;
   for (int i = 0; i != 20; ++i) {
     fixture.advance(900ms);
@@ -456,7 +456,7 @@
   CHECK(fixture.watcher.statistics().updates_taken == 20);
 }
 
-TEST_CASE("an update that this node cannot join does not put its own look off") {
+TEST_CASE("an update that does not connect to the view does not postpone this node's poll") {
   SharingFixture fixture;
   fixture.advance(900ms);
   fixture.watcher.receive_update(empty_update(12, 14));
@@ -465,7 +465,7 @@
   CHECK(fixture.store.changes_calls[0].after == StoreRevision(10));
 }
 
-TEST_CASE("an answer that comes after a newer update brings nothing back") {
+TEST_CASE("an answer that arrives after a newer update does not restore older state") {
   SharingFixture fixture;
   fixture.advance(1500ms);
   REQUIRE(fixture.store.changes_calls.size() == 1);
@@ -480,7 +480,7 @@
   CHECK(fixture.fleet.find(gateway::BackendId("b"))->draining);
 }
 
-TEST_CASE("a view that turns out to differ is listed anew, also when a look is under way") {
+TEST_CASE("a view with a different fingerprint is listed again, also during a poll") {
   for (const bool under_way : {false, true}) {
     SharingFixture fixture;
     fixture.advance(under_way ? 1500ms : 500ms);
@@ -498,7 +498,7 @@
   }
 }
 
-TEST_CASE("times within a bound leave room for a slow answer and a second try") {
+TEST_CASE("settings for a staleness bound leave time for a slow answer and a retry") {
   for (const Duration bound : {Duration(2s), Duration(3s), Duration(18s)}) {
     const FleetWatcherSettings settings = settings_for_staleness_bound(bound);
     CHECK(settings.period + settings.spread + settings.retry_delay < bound * 9 / 10);
@@ -507,7 +507,7 @@
   }
 }
 
-TEST_CASE("a node that starts while the store is out serves with a peer's view") {
+TEST_CASE("a node that starts while the store is unreachable uses a peer's view") {
   SharingFixture peer;
   peer.watcher.receive_update({.after = StoreRevision(10),
                                .through = StoreRevision(12),
@@ -534,13 +534,13 @@
   CHECK(asked.empty());
   time.run_until(time.now() + 100ms);
   REQUIRE(asked.size() == 1);
-  SUBCASE("a peer without a view is no help, another is asked later") {
+  SUBCASE("if the peer has no view, another is asked later") {
     asked[0](std::nullopt);
     CHECK(fleet.routes() == nullptr);
     time.run_until(time.now() + 300ms);
     CHECK(asked.size() == 2);
   }
-  SUBCASE("the view is taken, the store is looked at again, and changes continue from it") {
+  SUBCASE("the view is applied, the store is polled again, and changes continue from it") {
     asked[0](snapshot.value());
     REQUIRE(fleet.routes() != nullptr);
     CHECK(fleet.routes()->configuration().version.value() == 3);
@@ -552,7 +552,7 @@
     take(store.changes_calls).done(fail(StoreErrc::kNotDone, "down"));
     CHECK(asked.size() == 1);
   }
-  SUBCASE("the store was quicker: its view stays") {
+  SUBCASE("if the store answers first, its view stays") {
     take(store.lists)(Listing{{{"config", "5", StoreRevision(20)}}, StoreRevision(21)});
     asked[0](snapshot.value());
     CHECK(fleet.routes()->configuration().version.value() == 5);
@@ -561,7 +561,7 @@
 
 namespace {
 
-/// A node that fetches views; the fetches wait to be answered.
+/// A node that fetches views; the test answers the fetches.
 struct FetchingFixture : SharingFixture {
   FetchingFixture() {
     watcher.on_fetch_needed([this](const ViewRequest& request, TransferCallback done) {
@@ -569,7 +569,7 @@
       fetches.push_back(std::move(done));
     });
   }
-  /// An update that this node cannot join, held by another node.
+  /// An update that does not connect to this node's view, sent by another node.
   void receive_unjoinable(std::uint64_t after, const std::string& holder) {
     ViewUpdate update = empty_update(after, after + 2);
     update.view_address = Endpoint(holder);
@@ -591,7 +591,7 @@
 
 }  // namespace
 
-TEST_CASE("what cannot be joined is fetched from the node that holds it, without a look") {
+TEST_CASE("changes that do not connect to the view are fetched from their sender without a poll") {
   FetchingFixture fixture;
   fixture.advance(900ms);
   fixture.receive_unjoinable(12, "holder");
@@ -608,7 +608,7 @@
   CHECK(fixture.watcher.statistics().updates_taken == 1);
 }
 
-TEST_CASE("an update that others follow does not put this node's own look off") {
+TEST_CASE("an update that others follow does not postpone this node's poll") {
   SharingFixture fixture;
   fixture.advance(900ms);
   ViewUpdate update = empty_update(10, 11);
@@ -619,11 +619,11 @@
   CHECK(fixture.store.changes_calls[0].after == StoreRevision(11));
 }
 
-TEST_CASE("a node that looks although another has just received its look does not tell its own") {
+TEST_CASE("a node that polls just after another's update does not broadcast its result") {
   for (const bool recently_received : {false, true}) {
     SharingFixture fixture;
-    int received = 0;
-    fixture.watcher.on_poll([&](const ViewUpdate&) { ++received; });
+    int broadcasts = 0;
+    fixture.watcher.on_poll([&](const ViewUpdate&) { ++broadcasts; });
     fixture.advance(1200ms);
     if (recently_received) {
       fixture.watcher.receive_update(empty_update(12, 14));
@@ -631,11 +631,11 @@
     fixture.advance(300ms);
     REQUIRE(fixture.store.changes_calls.size() == 1);
     take(fixture.store.changes_calls).done(Changes{});
-    CHECK(received == (recently_received ? 0 : 1));
+    CHECK(broadcasts == (recently_received ? 0 : 1));
   }
 }
 
-TEST_CASE("many updates that cannot be joined bring one fetch, from the newest holder") {
+TEST_CASE("many updates that do not connect cause one fetch, from the newest sender") {
   FetchingFixture fixture;
   for (int i = 0; i != 5; ++i) {
     fixture.receive_unjoinable(12 + static_cast<std::uint64_t>(i), "holder" + std::to_string(i));
@@ -643,7 +643,7 @@
   fixture.advance(110ms);
   REQUIRE(fixture.fetches.size() == 1);
   CHECK(fixture.holders[0] == Endpoint("holder4"));
-  // Whole views are large: the next one waits for half a period.
+  // Complete views are large: the next fetch waits for half a period.
   fixture.fetches[0](make_snapshot_at(14, "7"));
   fixture.receive_unjoinable(20, "holder5");
   fixture.advance(380ms);
@@ -652,7 +652,7 @@
   CHECK(fixture.fetches.size() == 2);
 }
 
-TEST_CASE("a holder that does not answer, or knows less, does not put this node's own look off") {
+TEST_CASE("a holder that does not answer or knows less does not postpone this node's poll") {
   for (const bool answers : {false, true}) {
     FetchingFixture fixture;
     fixture.advance(900ms);
@@ -667,7 +667,7 @@
   }
 }
 
-TEST_CASE("a listing that was begun before a newer view came does not bring the older one back") {
+TEST_CASE("a listing begun before a newer view was received does not restore older state") {
   FetchingFixture fixture;
   ViewUpdate differing = empty_update(10, 11);
   differing.fingerprint = 77;
@@ -689,7 +689,7 @@
   CHECK(fixture.fleet.find(gateway::BackendId("b"))->draining);
 }
 
-TEST_CASE("looks that fail come seldomer, and again at their pace after one that succeeds") {
+TEST_CASE("the delay between failed polls grows, and a success resets it") {
   SharingFixture fixture;
   fixture.advance(1500ms);
   std::vector<MonotonicTime> tries;
@@ -703,7 +703,7 @@
     CHECK(fixture.time.now() - tries.back() >= 150ms);
     CHECK(fixture.time.now() - tries.back() <= 1210ms);
   }
-  // 30 tries at the pace of the first would take 9 s at most.
+  // 30 attempts without increasing delays take 9 s at most.
   CHECK(tries.back() - tries.front() > 12s);
   take(fixture.store.changes_calls).done(Changes{});
   take(fixture.store.lists)(Listing{{}, StoreRevision(10)});
@@ -714,10 +714,10 @@
   CHECK(fixture.store.changes_calls.size() == 1);
 }
 
-TEST_CASE("however many nodes there are, few look before they can know of each other's look") {
+TEST_CASE("regardless of the number of nodes, few poll before another's result can reach them") {
   SeededRandom random{11};
   for (const std::uint32_t nodes : {7U, 60U, 340U}) {
-    double looks = 0;
+    double polls = 0;
     constexpr int kRounds = 200;
     for (int round = 0; round != kRounds; ++round) {
       std::vector<Duration> waits;
@@ -726,23 +726,23 @@
         CHECK(waits.back() <= 440ms);
       }
       const Duration first = *std::min_element(waits.begin(), waits.end());
-      looks +=
+      polls +=
           static_cast<double>(std::count_if(waits.begin(), waits.end(), [&](const Duration wait) {
             return wait <= first + Duration(20ms);
           }));
     }
-    CHECK(looks / kRounds < 2.5);
+    CHECK(polls / kRounds < 2.5);
   }
 }
 
-TEST_CASE("a look tells the others what it found") {
+TEST_CASE("a poll broadcasts the changes it found") {
   SharingFixture fixture;
-  std::vector<ViewUpdate> received;
-  fixture.watcher.on_poll([&](const ViewUpdate& update) { received.push_back(update); });
+  std::vector<ViewUpdate> broadcasts;
+  fixture.watcher.on_poll([&](const ViewUpdate& update) { broadcasts.push_back(update); });
   fixture.advance(1500ms);
   take(fixture.store.changes_calls).done(Changes{{{"backends/b", "ready", StoreRevision(12)}}});
-  REQUIRE(received.size() == 1);
-  CHECK(received[0].after == StoreRevision(10));
-  CHECK(received[0].through == StoreRevision(12));
-  CHECK(received[0].changes.size() == 1);
+  REQUIRE(broadcasts.size() == 1);
+  CHECK(broadcasts[0].after == StoreRevision(10));
+  CHECK(broadcasts[0].through == StoreRevision(12));
+  CHECK(broadcasts[0].changes.size() == 1);
 }
--- a/src/discovery/tests/stub_store.h
+++ b/src/discovery/tests/stub_store.h
@@ -1,4 +1,4 @@
-// A store that the test plays: it keeps each call until the test answers it.
+// A stub of the store: each call is kept until the test answers it.
 #pragma once
 
 #include <deque>
@@ -34,7 +34,7 @@
   void list(const std::string& /*prefix*/, Callback<shared_store::Listing> done) override {
     lists.push_back(std::move(done));
   }
-  /// Answered by a listing, which is the one page there is.
+  /// Answered by a listing, which forms the only page.
   void list_page(const shared_store::PageRequest& /*request*/,
                  Callback<shared_store::ListPage> done) override {
     lists.push_back([done = std::move(done)](auto listing) {
@@ -70,16 +70,17 @@
   }
   void end_lease(shared_store::LeaseId lease, Callback<shared_store::LeaseId> done) override {
     ended.push_back(lease);
-    if (answers_ends) {
+    if (accepts_lease_ends) {
       done(lease);
     } else {
-      done(fail(shared_store::StoreErrc::kNotDone, "out"));
+      done(fail(shared_store::StoreErrc::kNotDone, "unreachable"));
     }
   }
 
   bool names_era() const override { return names_its_era; }
 
-  bool answers_ends = true;  ///< Of leases: these are answered at once.
+  /// Whether calls that end a lease succeed; they are answered immediately.
+  bool accepts_lease_ends = true;
   bool names_its_era = false;
   std::deque<Callback<shared_store::Listing>> lists;
   std::deque<ChangesCall> changes_calls;
@@ -91,7 +92,7 @@
   std::deque<shared_store::LeaseId> ended;
 };
 
-/// Takes the oldest of the kept calls.
+/// Removes and returns the oldest kept call.
 template <class Call>
 Call take(std::deque<Call>& calls) {
   Call call = std::move(calls.front());
--- a/src/discovery/view_transfer.h
+++ b/src/discovery/view_transfer.h
@@ -58,7 +58,7 @@
 
 /// Returns the time since the sender last knew its view to match the store.
 inline Duration age_of(const ViewTransfer& transfer) {
-  return std::visit([](const auto& told) { return told.age; }, transfer);
+  return std::visit([](const auto& alternative) { return alternative.age; }, transfer);
 }
 
 }  // namespace ochrespring::discovery
--- a/src/discovery/view_writer.h
+++ b/src/discovery/view_writer.h
@@ -130,7 +130,7 @@
   std::optional<std::uint64_t> fingerprint_;
   std::uint64_t added_backends_ = 0;  ///< Added back ends that are not logged yet.
   /// Later pages of a listing contain newer states than the first. Up to this revision the view may
-  /// contain more than `seen_revision_` states and is not compared with that of other nodes.
+  /// contain changes after `seen_revision_` and is not compared with that of other nodes.
   shared_store::StoreRevision max_listed_revision_;
   /// Back ends whose listed state was newer than the start of the listing. Their change is found
   /// again by a poll and must still be broadcast, although it changes nothing here.
--- a/src/gateway_node/tests/leaving_node_test.cc
+++ b/src/gateway_node/tests/leaving_node_test.cc
@@ -46,7 +46,7 @@
       logger,       random,
       {"nodes/me"}, {NodeId("me"), Endpoint("1.1.1.1:1"), ZoneName("a"), Endpoint("127.0.0.1:9")}};
 
-  RegistrationWorld() { store.answers_ends = false; }
+  RegistrationWorld() { store.accepts_lease_ends = false; }
   void advance(Duration span) { time.run_until(time.now() + span); }
   void grant(std::uint64_t lease) { take(store.grants)(LeaseId(lease)); }
 };
