--- a/src/discovery/era_check.cc
+++ b/src/discovery/era_check.cc
@@ -30,10 +30,10 @@
   return position_at_failure_ ? position_at_failure_ : newest;
 }
 
-PositionCheck EraCheck::check(const Position& asked,
+PositionCheck EraCheck::check(const Position& requested,
                               const std::vector<shared_store::Change>& changes) {
   const PositionCheck found =
-      asked ? shared_store::check_position(*asked, changes) : PositionCheck::kUnknown;
+      requested ? shared_store::check_position(*requested, changes) : PositionCheck::kUnknown;
   position_at_failure_.reset();
   if (found == PositionCheck::kSame) {
     failed_at_.reset();
--- a/src/discovery/era_check.h
+++ b/src/discovery/era_check.h
@@ -26,9 +26,9 @@
   /// Returns the position from which the next poll should start; nullopt if it is not known.
   /// `newest` is the position of the view, `era` its era.
   Position position_to_verify(const Position& newest, shared_store::StoreEra era);
-  /// Checks `changes`, which must include all changes after `asked.before()` if a position was
+  /// Checks `changes`, which must include all changes after `requested.before()` if a position was
   /// requested.
-  shared_store::PositionCheck check(const Position& asked,
+  shared_store::PositionCheck check(const Position& requested,
                                     const std::vector<shared_store::Change>& changes);
   /// The store no longer keeps the change at the position.
   void forget_position() { position_at_failure_.reset(); }
--- a/src/discovery/fleet_watcher.cc
+++ b/src/discovery/fleet_watcher.cc
@@ -575,9 +575,9 @@
   }
   const bool listing_due = listing_required_ && timer_.armed();
   if (!polling_ && !listing_due) {
-    const Duration waited =
+    const Duration delay =
         poll_delay(settings_, reading_assignment(), nodes_.count(), deps_.random.unit());
-    const MonotonicTime due = *fleet_.current_at() + waited;
+    const MonotonicTime due = *fleet_.current_at() + delay;
     timer_.arm(std::max(due - deps_.clock.now(), Duration::zero()), [this] { poll(); });
   }
   notify_covered();
--- a/src/discovery/fleet_watcher.h
+++ b/src/discovery/fleet_watcher.h
@@ -216,16 +216,16 @@
   Timer timer_;
   Timer peer_timer_;
   Timer configuration_timer_;  ///< Delays the separate read of the configuration by followers.
-  std::optional<MonotonicTime>
-      update_received_at_;  ///< When the last update of another node was received.
+  /// When the last update of another node was received.
+  std::optional<MonotonicTime> update_received_at_;
   /// An update that the view does not cover yet.
   struct PendingUpdate {
     shared_store::StoreRevision through;
     std::function<void()> on_covered;
   };
   std::optional<PendingUpdate> pending_update_;
-  std::optional<MonotonicTime>
-      configuration_current_at_;     ///< When the configuration was last known to be current.
+  /// When the configuration was last known to be current.
+  std::optional<MonotonicTime> configuration_current_at_;
   std::uint32_t failed_in_row_ = 0;  ///< Consecutive failed polls.
   MonotonicTime poll_started_at_{};
   bool polling_ = false;
--- a/src/discovery/known_history.cc
+++ b/src/discovery/known_history.cc
@@ -20,7 +20,7 @@
 void KnownHistory::trim(MonotonicTime now, StoreRevision seen) {
   std::erase_if(entries_, [&](const Entry& entry) {
     const StoreRevision after = entry.span.after;
-    return now - entry.noted > kRetention || after.era() != seen.era() ||
+    return now - entry.recorded_at > kRetention || after.era() != seen.era() ||
            (after < seen && seen.value() - after.value() > kMaxChanges);
   });
 }
--- a/src/discovery/known_history.h
+++ b/src/discovery/known_history.h
@@ -37,7 +37,7 @@
 
   struct Entry {
     shared_store::HistorySpan span;
-    MonotonicTime noted{};
+    MonotonicTime recorded_at{};
   };
 
   std::deque<Entry> entries_;  ///< In order of recording.
--- a/src/discovery/node_directory.h
+++ b/src/discovery/node_directory.h
@@ -101,8 +101,8 @@
   bool leaving_ = false;
   std::uint64_t version_ = 1;
   mutable std::vector<NodeRecord> caller_targets_;
-  mutable std::uint64_t caller_targets_version_ =
-      0;  ///< `version_` from which `caller_targets_` was computed.
+  /// `version_` from which `caller_targets_` was computed.
+  mutable std::uint64_t caller_targets_version_ = 0;
   mutable std::size_t caller_targets_limit_ = 0;  ///< `max_count` for which it was computed.
 };
 
--- a/src/discovery/tests/fleet_lister_test.cc
+++ b/src/discovery/tests/fleet_lister_test.cc
@@ -36,10 +36,10 @@
   void list_page(const shared_store::PageRequest& request,
                  shared_store::StoreCallback<ListPage> done) override {
     ++calls;
-    ++open_;
-    most_open = std::max(most_open, open_);
+    ++open_calls_;
+    max_open_calls = std::max(max_open_calls, open_calls_);
     time_.schedule_after(1ms, [this, request, done = std::move(done)] {
-      --open_;
+      --open_calls_;
       if (failures_left != 0) {
         --failures_left;
         done(fail(StoreErrc::kRateLimited, "too many"));
@@ -59,14 +59,14 @@
   }
 
   int calls = 0;
-  int most_open = 0;
+  int max_open_calls = 0;
   int failures_left = 0;
 
  private:
   simulation::VirtualTime& time_;
   std::set<std::string> keys_;
   std::size_t page_items_;
-  int open_ = 0;
+  int open_calls_ = 0;
   std::uint64_t revision_ = 10;
 };
 
@@ -87,14 +87,14 @@
       : store(time, make_keys(keys), page_items) {}
 
   void list(const std::vector<std::string>& ends) {
-    lister.start(ends, [this](auto result) { kept.emplace(std::move(result)); });
+    lister.start(ends, [this](auto result) { listing_result.emplace(std::move(result)); });
     time.run_until(time.now() + 5s);
   }
 
   simulation::VirtualTime time;
   PagedStore store;
   FleetLister lister{store, time};
-  std::optional<Result<Listing, shared_store::StoreError>> kept;
+  std::optional<Result<Listing, shared_store::StoreError>> listing_result;
 };
 
 }  // namespace
@@ -110,30 +110,30 @@
       ends.insert(key_of(*rc::gen::inRange(0, 140)));
     }
     fixture.list({ends.begin(), ends.end()});
-    RC_ASSERT(fixture.kept.has_value());
-    RC_ASSERT(fixture.kept->has_value());
+    RC_ASSERT(fixture.listing_result.has_value());
+    RC_ASSERT(fixture.listing_result->has_value());
     std::vector<std::string> listed;
-    for (const Change& item : fixture.kept->value().items) {
+    for (const Change& item : fixture.listing_result->value().items) {
       listed.push_back(item.key);
     }
     const std::set<std::string> all = make_keys(keys);
     RC_ASSERT(listed == std::vector<std::string>(all.begin(), all.end()));
-    RC_ASSERT(fixture.kept->value().revision == StoreRevision(11));
+    RC_ASSERT(fixture.listing_result->value().revision == StoreRevision(11));
   }));
 }
 
 TEST_CASE("ranges are listed concurrently") {
   ListerFixture fixture(100);
   fixture.list({key_of(24), key_of(49), key_of(74)});
-  CHECK(fixture.store.most_open == 4);
-  CHECK(fixture.kept->value().items.size() == 100);
+  CHECK(fixture.store.max_open_calls == 4);
+  CHECK(fixture.listing_result->value().items.size() == 100);
 }
 
 TEST_CASE("a failed page is retried and the pages before it are kept") {
   ListerFixture fixture(100);
   fixture.store.failures_left = 2;
   fixture.list({});
-  CHECK(fixture.kept->value().items.size() == 100);
+  CHECK(fixture.listing_result->value().items.size() == 100);
   CHECK(fixture.store.calls == 12);
 }
 
@@ -141,8 +141,8 @@
   ListerFixture fixture(100);
   fixture.store.failures_left = 1000;
   fixture.list({key_of(49)});
-  REQUIRE(fixture.kept.has_value());
-  CHECK(fixture.kept->error().code == StoreErrc::kRateLimited);
+  REQUIRE(fixture.listing_result.has_value());
+  CHECK(fixture.listing_result->error().code == StoreErrc::kRateLimited);
   CHECK_FALSE(fixture.lister.running());
   CHECK(fixture.store.calls <= 6);
 }
@@ -152,10 +152,11 @@
   ListPage first{{{key_of(0), "value", StoreRevision(1)}, {key_of(1), "value", StoreRevision(1)}},
                  true,
                  StoreRevision(5)};
-  fixture.lister.resume(first, [&](auto result) { fixture.kept.emplace(std::move(result)); });
+  fixture.lister.resume(first,
+                        [&](auto result) { fixture.listing_result.emplace(std::move(result)); });
   fixture.time.run_until(fixture.time.now() + 1s);
-  CHECK(fixture.kept->value().items.size() == 30);
-  CHECK(fixture.kept->value().revision == StoreRevision(5));
+  CHECK(fixture.listing_result->value().items.size() == 30);
+  CHECK(fixture.listing_result->value().revision == StoreRevision(5));
 }
 
 TEST_CASE("a cancelled listing does not call back") {
@@ -167,7 +168,7 @@
   fixture.time.run_until(fixture.time.now() + 1s);
   CHECK_FALSE(called);
   fixture.list({});
-  CHECK(fixture.kept->value().items.size() == 100);
+  CHECK(fixture.listing_result->value().items.size() == 100);
 }
 
 // Guards against a reference cycle: the retry callback owned the run that owned the timer, and
