--- a/src/discovery/change_log.cc
+++ b/src/discovery/change_log.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Back ends and nodes have names of their own; which of them a change is of is told apart.
+/// Back ends and nodes may have the same name, so the kind of the change is part of the key.
 std::pair<std::size_t, std::string_view> subject_of(const ViewChange& change) {
   const std::string_view id = std::visit(
       [](const auto& alternative) { return std::string_view(alternative.id.value()); }, change);
@@ -18,14 +18,14 @@
 
 }  // namespace
 
-void ChangeLog::restart(shared_store::StoreRevision revision) {
+void ChangeLog::reset(shared_store::StoreRevision revision) {
   entries_.clear();
   after_ = revision;
   through_ = std::max(through_, revision);
 }
 
 void ChangeLog::note_configuration(shared_store::StoreRevision revision) {
-  configuration_at_ = std::max(configuration_at_, revision);
+  configuration_revision_ = std::max(configuration_revision_, revision);
   advance(revision);
 }
 
@@ -44,16 +44,18 @@
           .changes = {}};
 }
 
-void ChangeLog::note_told(shared_store::StoreRevision revision) {
-  if (revision > told_) {
-    told_before_ = std::exchange(told_, revision);
+void ChangeLog::note_announced(shared_store::StoreRevision revision) {
+  if (revision > announced_) {
+    previously_announced_ = std::exchange(announced_, revision);
   }
 }
 
-/// One look whose news was lost is made up for by the next: hence from the last but one.
+/// Starts at the last but one poll, so that each poll makes up for the loss of the previous one's
+/// updates.
 std::vector<ViewUpdate> ChangeLog::make_updates(MonotonicTime now, Duration age) {
   trim(now);
-  const shared_store::StoreRevision begin = std::max({after_, told_before_, configuration_at_});
+  const shared_store::StoreRevision begin =
+      std::max({after_, previously_announced_, configuration_revision_});
   std::vector<ViewUpdate> updates{make_empty_update(begin, age)};
   for (const Entry& entry : entries_) {
     const shared_store::StoreRevision revision = revision_of(entry.change);
@@ -61,9 +63,10 @@
       continue;
     }
     ViewUpdate& last = updates.back();
-    // What changed in one transaction stands at one revision and stays together.
-    if (last.changes.size() >= kChangesPerUpdate && revision_of(last.changes.back()) != revision) {
-      if (updates.size() == kMostUpdates) {
+    // All changes of a transaction have the same revision and stay together.
+    if (last.changes.size() >= kMaxChangesPerUpdate &&
+        revision_of(last.changes.back()) != revision) {
+      if (updates.size() == kMaxUpdates) {
         return {make_empty_update(through_, age)};
       }
       last.through = revision_of(last.changes.back());
@@ -92,12 +95,12 @@
 
 void ChangeLog::trim(MonotonicTime now) {
   while (!entries_.empty() &&
-         (entries_.size() > kMostChanges || now - entries_.front().at > kKeep)) {
+         (entries_.size() > kMaxChanges || now - entries_.front().at > kRetention)) {
     drop_oldest();
   }
 }
 
-/// A transaction changes several keys at one revision: they go together.
+/// All changes of a transaction have the same revision and are dropped together.
 void ChangeLog::drop_oldest() {
   after_ = revision_of(entries_.front().change);
   while (!entries_.empty() && revision_of(entries_.front().change) == after_) {
--- /dev/null
+++ b/src/discovery/era_check.h
@@ -0,0 +1,44 @@
+// Checks whether the store that answers is still in the era of the view.
+#pragma once
+
+#include <optional>
+#include <vector>
+
+#include "base/time.h"
+#include "shared_store/store_position.h"
+
+namespace ochrespring::discovery {
+
+/// A store may be restored from an older copy without announcing it, and is unreachable before.
+/// After a failed poll, the position known at that time is therefore verified, even if other nodes
+/// have reported newer changes since: they may know no position to verify. Performs no I/O; used on
+/// one event loop.
+class EraCheck {
+ public:
+  using Position = std::optional<shared_store::StorePosition>;
+
+  /// Records a poll without an answer; `known` is the position of the view.
+  void note_failed(MonotonicTime now, const Position& known);
+  /// Records that another node knows a different change at `known`.
+  void note_conflict(MonotonicTime now, const Position& known);
+  /// Records that the view matched the store at `at`.
+  void note_current(MonotonicTime at);
+  /// Returns the position from which the next poll should start; nullopt if it is not known.
+  /// `newest` is the position of the view, `era` its era.
+  Position position_to_verify(const Position& newest, shared_store::StoreEra era);
+  /// Checks `changes`, which must include all changes after `requested.before()` if a position was
+  /// requested.
+  shared_store::PositionCheck check(const Position& requested,
+                                    const std::vector<shared_store::Change>& changes);
+  /// The store no longer keeps the change at the position.
+  void forget_position() { position_at_failure_.reset(); }
+  /// Returns whether a poll has failed and the view has not been known to match the store since.
+  bool is_pending() const { return failed_at_.has_value(); }
+
+ private:
+  std::optional<MonotonicTime> failed_at_;
+  /// Position when a poll first failed; reset when a poll is answered.
+  Position position_at_failure_;
+};
+
+}  // namespace ochrespring::discovery
--- a/src/discovery/tests/fleet_lister_test.cc
+++ b/src/discovery/tests/fleet_lister_test.cc
@@ -1,4 +1,4 @@
-// Listings of the whole store in ranges, with pages that fail.
+// Listings of the whole store in ranges, with failing pages.
 #include "discovery/fleet_lister.h"
 
 #include <doctest/doctest.h>
@@ -13,7 +13,7 @@
 #include <vector>
 
 #include "simulation/virtual_time.h"
-#include "tests/played_store.h"
+#include "tests/stub_store.h"
 
 using namespace ochrespring;
 using namespace ochrespring::discovery;
@@ -26,8 +26,9 @@
 
 namespace {
 
-/// Pages of some keys; every call takes a millisecond, and those that are told to fail do.
-class PagedStore final : public testing::PlayedStore {
+/// Serves pages of a set of keys. Every call takes a millisecond; the first `failures_left` calls
+/// fail.
+class PagedStore final : public testing::StubStore {
  public:
   PagedStore(simulation::VirtualTime& time, std::set<std::string> keys, std::size_t page_items)
       : time_(time), keys_(std::move(keys)), page_items_(page_items) {}
@@ -35,10 +36,10 @@
   void list_page(const shared_store::PageRequest& request,
                  shared_store::StoreCallback<ListPage> done) override {
     ++calls;
-    ++open_;
-    most_open = std::max(most_open, open_);
+    ++open_calls_;
+    max_open_calls = std::max(max_open_calls, open_calls_);
     time_.schedule_after(1ms, [this, request, done = std::move(done)] {
-      --open_;
+      --open_calls_;
       if (failures_left != 0) {
         --failures_left;
         done(fail(StoreErrc::kRateLimited, "too many"));
@@ -58,14 +59,14 @@
   }
 
   int calls = 0;
-  int most_open = 0;
+  int max_open_calls = 0;
   int failures_left = 0;
 
  private:
   simulation::VirtualTime& time_;
   std::set<std::string> keys_;
   std::size_t page_items_;
-  int open_ = 0;
+  int open_calls_ = 0;
   std::uint64_t revision_ = 10;
 };
 
@@ -86,100 +87,101 @@
       : store(time, make_keys(keys), page_items) {}
 
   void list(const std::vector<std::string>& ends) {
-    lister.start(ends, [this](auto result) { kept.emplace(std::move(result)); });
+    lister.start(ends, [this](auto result) { listing_result.emplace(std::move(result)); });
     time.run_until(time.now() + 5s);
   }
 
   simulation::VirtualTime time;
   PagedStore store;
   FleetLister lister{store, time};
-  std::optional<Result<Listing, shared_store::StoreError>> kept;
+  std::optional<Result<Listing, shared_store::StoreError>> listing_result;
 };
 
 }  // namespace
 
-TEST_CASE("wherever the ranges end, each key is listed once and in order") {
+TEST_CASE("each key is listed once and in order, whatever the boundaries of the ranges") {
   CHECK(rc::check([] {
     const int keys = *rc::gen::inRange(0, 120);
-    ListerFixture world(keys, *rc::gen::inRange<std::size_t>(1, 30));
+    ListerFixture fixture(keys, *rc::gen::inRange<std::size_t>(1, 30));
     std::set<std::string> ends;
     const int count = *rc::gen::inRange(0, 9);
     for (int i = 0; i != count; ++i) {
-      // Ends need not be keys that there are, nor before the last one.
+      // Boundaries need not be existing keys and may lie after the last one.
       ends.insert(key_of(*rc::gen::inRange(0, 140)));
     }
-    world.list({ends.begin(), ends.end()});
-    RC_ASSERT(world.kept.has_value());
-    RC_ASSERT(world.kept->has_value());
+    fixture.list({ends.begin(), ends.end()});
+    RC_ASSERT(fixture.listing_result.has_value());
+    RC_ASSERT(fixture.listing_result->has_value());
     std::vector<std::string> listed;
-    for (const Change& item : world.kept->value().items) {
+    for (const Change& item : fixture.listing_result->value().items) {
       listed.push_back(item.key);
     }
     const std::set<std::string> all = make_keys(keys);
     RC_ASSERT(listed == std::vector<std::string>(all.begin(), all.end()));
-    RC_ASSERT(world.kept->value().revision == StoreRevision(11));
+    RC_ASSERT(fixture.listing_result->value().revision == StoreRevision(11));
   }));
 }
 
-TEST_CASE("ranges are listed side by side") {
-  ListerFixture world(100);
-  world.list({key_of(24), key_of(49), key_of(74)});
-  CHECK(world.store.most_open == 4);
-  CHECK(world.kept->value().items.size() == 100);
+TEST_CASE("ranges are listed concurrently") {
+  ListerFixture fixture(100);
+  fixture.list({key_of(24), key_of(49), key_of(74)});
+  CHECK(fixture.store.max_open_calls == 4);
+  CHECK(fixture.listing_result->value().items.size() == 100);
 }
 
-TEST_CASE("a page that fails is asked for again, and those before it are kept") {
-  ListerFixture world(100);
-  world.store.failures_left = 2;
-  world.list({});
-  CHECK(world.kept->value().items.size() == 100);
-  CHECK(world.store.calls == 12);
+TEST_CASE("a failed page is retried and the pages before it are kept") {
+  ListerFixture fixture(100);
+  fixture.store.failures_left = 2;
+  fixture.list({});
+  CHECK(fixture.listing_result->value().items.size() == 100);
+  CHECK(fixture.store.calls == 12);
 }
 
-TEST_CASE("a store that goes on failing fails the listing, with its own error, once") {
-  ListerFixture world(100);
-  world.store.failures_left = 1000;
-  world.list({key_of(49)});
-  REQUIRE(world.kept.has_value());
-  CHECK(world.kept->error().code == StoreErrc::kRateLimited);
-  CHECK_FALSE(world.lister.running());
-  CHECK(world.store.calls <= 6);
+TEST_CASE("if the store keeps failing, the listing fails once with the error of the store") {
+  ListerFixture fixture(100);
+  fixture.store.failures_left = 1000;
+  fixture.list({key_of(49)});
+  REQUIRE(fixture.listing_result.has_value());
+  CHECK(fixture.listing_result->error().code == StoreErrc::kRateLimited);
+  CHECK_FALSE(fixture.lister.running());
+  CHECK(fixture.store.calls <= 6);
 }
 
-TEST_CASE("a listing goes on behind a page that has been read") {
-  ListerFixture world(30);
+TEST_CASE("a listing continues after a page that has already been read") {
+  ListerFixture fixture(30);
   ListPage first{{{key_of(0), "value", StoreRevision(1)}, {key_of(1), "value", StoreRevision(1)}},
                  true,
                  StoreRevision(5)};
-  world.lister.resume(first, [&](auto result) { world.kept.emplace(std::move(result)); });
-  world.time.run_until(world.time.now() + 1s);
-  CHECK(world.kept->value().items.size() == 30);
-  CHECK(world.kept->value().revision == StoreRevision(5));
+  fixture.lister.resume(first,
+                        [&](auto result) { fixture.listing_result.emplace(std::move(result)); });
+  fixture.time.run_until(fixture.time.now() + 1s);
+  CHECK(fixture.listing_result->value().items.size() == 30);
+  CHECK(fixture.listing_result->value().revision == StoreRevision(5));
 }
 
-TEST_CASE("a listing that is dropped calls nobody back") {
-  ListerFixture world(100);
+TEST_CASE("a cancelled listing does not call back") {
+  ListerFixture fixture(100);
   bool called = false;
-  world.lister.start({}, [&](const auto&) { called = true; });
-  world.time.run_until(world.time.now() + 2ms);
-  world.lister.stop();
-  world.time.run_until(world.time.now() + 1s);
+  fixture.lister.start({}, [&](const auto&) { called = true; });
+  fixture.time.run_until(fixture.time.now() + 2ms);
+  fixture.lister.stop();
+  fixture.time.run_until(fixture.time.now() + 1s);
   CHECK_FALSE(called);
-  world.list({});
-  CHECK(world.kept->value().items.size() == 100);
+  fixture.list({});
+  CHECK(fixture.listing_result->value().items.size() == 100);
 }
 
-// The retry's callback owned the listing that owned the timer: nodes that were killed while a page
-// waited for its retry freed both twice.
-TEST_CASE("a listing that is dropped while a page waits for its retry is gone at once") {
-  ListerFixture world(5);
-  world.store.failures_left = 1;
+// Guards against a reference cycle: the retry callback owned the run that owned the timer, and
+// nodes terminated while a page waited for its retry freed both twice.
+TEST_CASE("a listing cancelled while a page waits for its retry is freed immediately") {
+  ListerFixture fixture(5);
+  fixture.store.failures_left = 1;
   const auto token = std::make_shared<int>(0);
-  world.lister.start({}, [token](auto /*result*/) {});
-  world.time.run_until(world.time.now() + 50ms);
+  fixture.lister.start({}, [token](auto /*result*/) {});
+  fixture.time.run_until(fixture.time.now() + 50ms);
   CHECK(token.use_count() == 2);
-  world.lister.stop();
+  fixture.lister.stop();
   CHECK(token.use_count() == 1);
-  world.time.run_until(world.time.now() + 1s);
-  CHECK(world.store.calls == 1);
+  fixture.time.run_until(fixture.time.now() + 1s);
+  CHECK(fixture.store.calls == 1);
 }
--- a/src/discovery/tests/node_directory_test.cc
+++ b/src/discovery/tests/node_directory_test.cc
@@ -1,4 +1,4 @@
-// Whom a node sends callers to.
+// The nodes to which a node directs its callers.
 #include "discovery/node_directory.h"
 
 #include <doctest/doctest.h>
@@ -17,7 +17,7 @@
 
 namespace {
 
-constexpr std::size_t kMost = 64;
+constexpr std::size_t kMaxTargets = 64;
 
 NodeRecord make_record(int number) {
   return {.node = NodeId("front-" + std::to_string(number)),
@@ -38,7 +38,7 @@
 
 std::set<NodeId> names_of(const NodeDirectory& directory) {
   std::set<NodeId> names;
-  for (const NodeRecord& record : directory.named(kMost)) {
+  for (const NodeRecord& record : directory.caller_targets(kMaxTargets)) {
     names.insert(record.node);
   }
   return names;
@@ -46,15 +46,15 @@
 
 }  // namespace
 
-// At 985 nodes users waited seconds although nearly all machines were idle: every answer of the
-// directory named the same 64.
-TEST_CASE("the nodes of a large fleet together send callers to all of them alike") {
+// Guards against every node of a large fleet returning the same targets: at 985 nodes, callers
+// waited for seconds while nearly all machines were idle, because every answer named the same 64.
+TEST_CASE("the nodes of a large fleet together direct callers evenly to all nodes") {
   simulation::VirtualTime time;
   constexpr int kNodes = 600;
   std::map<NodeId, int> named;
   for (int self = 0; self != kNodes; ++self) {
     const std::set<NodeId> names = names_of(make_directory(time, self, kNodes));
-    CHECK(names.size() == kMost);
+    CHECK(names.size() == kMaxTargets);
     for (const NodeId& name : names) {
       ++named[name];
     }
@@ -66,23 +66,23 @@
   }
 }
 
-TEST_CASE("a node that goes, or comes, changes one name at most, so that callers stay") {
+TEST_CASE("adding or removing a node changes at most one caller target") {
   simulation::VirtualTime time;
   NodeDirectory directory = make_directory(time, 0, 400);
   std::set<NodeId> before = names_of(directory);
   for (int i = 1; i != 60; ++i) {
-    const NodeId gone = make_record(i).node;
-    directory.remove(gone);
+    const NodeId removed = make_record(i).node;
+    directory.remove(removed);
     const std::set<NodeId> after = names_of(directory);
     std::vector<NodeId> kept;
     std::set_intersection(before.begin(), before.end(), after.begin(), after.end(),
                           std::back_inserter(kept));
-    CHECK(kept.size() == kMost - (before.contains(gone) ? 1 : 0));
+    CHECK(kept.size() == kMaxTargets - (before.contains(removed) ? 1 : 0));
     before = after;
   }
 }
 
-TEST_CASE("a small fleet is named whole, and without a node that leaves") {
+TEST_CASE("all nodes of a small fleet are caller targets except a node that leaves") {
   simulation::VirtualTime time;
   NodeDirectory directory = make_directory(time, 3, 40);
   CHECK(names_of(directory).size() == 40);
@@ -91,7 +91,8 @@
   CHECK_FALSE(names_of(directory).contains(make_record(3).node));
 }
 
-TEST_CASE("a node that started again is not hidden for good by a late word of the process before") {
+TEST_CASE(
+    "a restarted node is not hidden permanently by a late leaving notice of its previous process") {
   simulation::VirtualTime time;
   NodeDirectory directory(time, make_record(0));
   directory.put(make_record(1), shared_store::StoreRevision(74));
@@ -99,20 +100,20 @@
   directory.replace({make_record(0), make_record(1)}, shared_store::StoreRevision(94));
   CHECK(directory.count() == 1);
   time.run_until(time.now() + std::chrono::seconds(16));
-  directory.admit_passed_over();
+  directory.readmit_deferred();
   CHECK(directory.count() == 2);
 }
 
-TEST_CASE("a node that is gone from the store is not admitted after its word is over") {
+TEST_CASE("a node removed from the store is not readmitted after its leaving notice has expired") {
   simulation::VirtualTime time;
   NodeDirectory directory(time, make_record(0));
   directory.put(make_record(1), shared_store::StoreRevision(74));
   directory.note_leaving(NodeId("front-1"), shared_store::StoreRevision(74));
   directory.replace({make_record(0), make_record(1)}, shared_store::StoreRevision(94));
-  directory.admit_passed_over();
+  directory.readmit_deferred();
   CHECK(directory.count() == 1);
   directory.remove(NodeId("front-1"));
   time.run_until(time.now() + std::chrono::seconds(16));
-  directory.admit_passed_over();
+  directory.readmit_deferred();
   CHECK(directory.count() == 1);
 }
--- a/src/discovery/tests/relay_table_test.cc
+++ b/src/discovery/tests/relay_table_test.cc
@@ -1,5 +1,5 @@
-// Relays of a zone: chosen alike by all nodes, by link first, and few change when a node comes or
-// goes.
+// Relays of a zone are selected identically by all nodes and by link speed first, and few of them
+// change when a node is added or removed.
 #include "discovery/relay_table.h"
 
 #include <doctest/doctest.h>
@@ -31,10 +31,10 @@
   return fleet;
 }
 
-/// What one of the nodes believes when it knows all of `fleet`.
-struct KnowingNode {
-  KnowingNode(const Clock& clock, const NodeRecord& self, const std::vector<NodeRecord>& fleet,
-              RelayOptions options = {})
+/// A node that knows all of `fleet`.
+struct FixedViewNode {
+  FixedViewNode(const Clock& clock, const NodeRecord& self, const std::vector<NodeRecord>& fleet,
+                RelayOptions options = {})
       : nodes(clock, self), table(nodes, options) {
     nodes.replace(fleet);
   }
@@ -55,12 +55,12 @@
 
 }  // namespace
 
-TEST_CASE("all nodes that know the same fleet name the same two relays in each zone") {
+TEST_CASE("all nodes that know the same fleet select the same two relays in each zone") {
   simulation::VirtualTime time;
   const auto fleet = make_fleet(10);
   std::vector<std::vector<std::vector<NodeRecord>>> tables;
   for (const NodeRecord& self : fleet) {
-    const KnowingNode node(time, self, fleet);
+    const FixedViewNode node(time, self, fleet);
     CHECK(node.table.zone_members().size() == 9);
     tables.push_back(node.table.relays());
   }
@@ -72,33 +72,33 @@
                     [&](const auto& table) { return table == tables.front(); }));
 }
 
-TEST_CASE("the nodes with the fastest links relay") {
+TEST_CASE("the nodes with the fastest links are relays") {
   simulation::VirtualTime time;
   auto fleet = make_fleet(10);
   fleet.push_back(make_node(90, "b", 200));
   fleet.push_back(make_node(91, "b", 200));
-  const KnowingNode node(time, fleet.front(), fleet);
+  const FixedViewNode node(time, fleet.front(), fleet);
   const auto names = names_of(node.table.relays());
   CHECK(names.contains("b-90"));
   CHECK(names.contains("b-91"));
 }
 
-TEST_CASE("a node that goes changes the relays only if it was one") {
+TEST_CASE("removing a node changes the relays only if it was one") {
   simulation::VirtualTime time;
   const auto fleet = make_fleet(10);
-  KnowingNode node(time, fleet.front(), fleet);
+  FixedViewNode node(time, fleet.front(), fleet);
   const auto before = names_of(node.table.relays());
-  for (const NodeRecord& gone : fleet) {
-    if (gone.node == fleet.front().node) {
+  for (const NodeRecord& removed : fleet) {
+    if (removed.node == fleet.front().node) {
       continue;
     }
-    node.nodes.remove(gone.node);
+    node.nodes.remove(removed.node);
     const auto now = names_of(node.table.relays());
     std::vector<std::string> kept;
     std::set_intersection(before.begin(), before.end(), now.begin(), now.end(),
                           std::back_inserter(kept));
-    CHECK(kept.size() == (before.contains(gone.node.value()) ? 5 : 6));
-    node.nodes.put(gone);
+    CHECK(kept.size() == (before.contains(removed.node.value()) ? 5 : 6));
+    node.nodes.put(removed);
     CHECK(names_of(node.table.relays()) == before);
   }
 }
@@ -107,10 +107,10 @@
   simulation::VirtualTime time;
   auto fleet = make_fleet(2);
   fleet.push_back(make_node(0, "d"));
-  const KnowingNode node(time, fleet.back(), fleet, {.from_nodes = 8});
+  const FixedViewNode node(time, fleet.back(), fleet, {.min_nodes = 8});
   CHECK(node.table.relays().back().size() == 1);
   CHECK(node.table.zone_members().empty());
   CHECK_FALSE(node.table.in_use());
   fleet.push_back(make_node(1, "d"));
-  CHECK(KnowingNode(time, fleet.front(), fleet, {.from_nodes = 8}).table.in_use());
+  CHECK(FixedViewNode(time, fleet.front(), fleet, {.min_nodes = 8}).table.in_use());
 }
--- a/src/discovery/view_fetcher.h
+++ b/src/discovery/view_fetcher.h
@@ -1,4 +1,4 @@
-// Fetches from other nodes what their updates told of and could not carry.
+// Fetches from other nodes the changes that their updates announce but cannot carry.
 #pragma once
 
 #include <cstdint>
@@ -9,61 +9,62 @@
 #include "base/random.h"
 #include "base/time.h"
 #include "base/timer.h"
-#include "discovery/look_schedule.h"
+#include "discovery/poll_schedule.h"
 #include "discovery/view_transfer.h"
 
 namespace ochrespring::discovery {
 
-/// What is asked of another node.
+/// A request for another node's view.
 struct ViewRequest {
   Endpoint holder;
-  /// What has changed behind it is enough; none: the whole view.
+  /// Changes after this revision suffice; nullopt: the complete view is needed.
   std::optional<shared_store::StoreRevision> after;
 };
 
-/// None: the node did not answer, or has nothing to give.
+/// Receives nullopt if the node did not answer or has nothing to provide.
 using TransferCallback = std::function<void(std::optional<ViewTransfer> transfer)>;
 
-/// Many updates that cannot be joined bring one fetch, from the holder of the newest; another
-/// follows only after a pause. A holder that cannot serve is asked again a few times: it serves
-/// others first. Whoever gets nothing looks itself in time. One loop.
+/// Many updates that do not connect to the view cause a single fetch, from the sender of the
+/// newest; the next one follows only after an interval. A holder that cannot serve is retried a few
+/// times, because it serves other nodes first. A node whose fetches fail polls the store itself in
+/// time. Used on one event loop.
 class ViewFetcher {
  public:
-  struct Links {
+  struct Callbacks {
     std::function<void(const ViewRequest&, TransferCallback)> fetch;
-    /// Up to where this node's view is complete.
-    std::function<std::optional<shared_store::StoreRevision>()> seen;
-    /// Takes what was asked for at a time; returns whether it was of use.
-    std::function<bool(const ViewTransfer&, MonotonicTime asked)> take;
+    /// Returns the revision up to which this node's view is complete.
+    std::function<std::optional<shared_store::StoreRevision>()> seen_revision;
+    /// Applies a transfer requested at the given time; returns whether it was useful.
+    std::function<bool(const ViewTransfer&, MonotonicTime requested_at)> apply;
   };
 
   ViewFetcher(const Clock& clock, TimerService& timers, RandomSource& random,
-              const FleetWatcherSettings& settings, Links links);
+              const FleetWatcherSettings& settings, Callbacks callbacks);
 
-  /// Another node holds what this one lacks.
-  void want(const Endpoint& holder);
-  /// The view has turned out to be wrong: the whole of the holder's is to take its place.
-  void want_whole(const Endpoint& holder);
-  /// Asks at once, out of turn, and calls back as well.
-  void ask(const Endpoint& holder, TransferCallback done);
+  /// Schedules a fetch of missing changes from `holder`.
+  void request(const Endpoint& holder);
+  /// Schedules a fetch of the complete view from `holder` because this node's view is wrong.
+  void request_snapshot(const Endpoint& holder);
+  /// Fetches immediately, independent of scheduled fetches, and passes the result to `done`.
+  void fetch_now(const Endpoint& holder, TransferCallback done);
 
  private:
-  /// Of one update: by then this node's own look is due.
-  static constexpr std::uint32_t kTries = 4;
+  /// Attempts per update; after these, this node's own poll is due.
+  static constexpr std::uint32_t kMaxAttempts = 4;
 
-  void fetch_later(Duration least);
+  void schedule_fetch(Duration min_delay);
   void fetch();
 
   const Clock& clock_;
   RandomSource& random_;
   FleetWatcherSettings settings_;
-  Links links_;
+  Callbacks callbacks_;
   Timer timer_;
-  Endpoint holder_;  ///< Of the newest update that could not be joined.
-  bool whole_ = false;
+  Endpoint holder_;  ///< Sender of the newest update that does not connect to the view.
+  bool needs_snapshot_ = false;
   bool fetching_ = false;
-  std::uint32_t tries_ = 0;
-  std::optional<MonotonicTime> fetched_at_;  ///< When the last fetch began.
+  std::uint32_t attempts_ = 0;
+  std::optional<MonotonicTime> last_fetch_started_at_;  ///< When the last fetch started.
 };
 
 }  // namespace ochrespring::discovery
