--- a/src/admission/tests/admission_control_test.cc
+++ b/src/admission/tests/admission_control_test.cc
@@ -27,10 +27,10 @@
   discovery::NodeDirectory nodes{time,
                                  {NodeId("n1"), Endpoint("f"), ZoneName("a"), Endpoint("p"), 200}};
   rate_limit::RateLimiter limiter{{time, time, random, logger, fleet, nodes},
-                                  {.tell_all = [](const auto&) {},
-                                   .tell = [](const auto&, const auto&) {},
-                                   .ask = [](const auto&, const auto&) {},
-                                   .reply = [](const auto&, const auto&) {}}};
+                                  {.broadcast = [](const auto&) {},
+                                   .send = [](const auto&, const auto&) {},
+                                   .send_request = [](const auto&, const auto&) {},
+                                   .send_reply = [](const auto&, const auto&) {}}};
   std::vector<BackendNotice> told;
   AdmissionControl admission{{time, random, logger, fleet, loads, limiter},
                              [this](const BackendNotice& notice) { told.push_back(notice); }};
--- a/src/admission_queue/admission_queue.cc
+++ b/src/admission_queue/admission_queue.cc
@@ -24,11 +24,11 @@
 /// Between two wake-ups of a queue, for each node of the fleet, and its bounds. Reports of work
 /// between nodes take some 10 ms: more frequent wake-ups would decide by the same reports again.
 constexpr Duration kWakeIntervalPerNode = milliseconds(1);
-constexpr Duration kLeastWakeInterval = milliseconds(10);
-constexpr Duration kLongestWakeInterval = milliseconds(50);
+constexpr Duration kMinWakeInterval = milliseconds(10);
+constexpr Duration kMaxWakeInterval = milliseconds(50);
 constexpr double kWakeJitter = 0.5;
 /// A wake-up that finds room for all it may send doubles what the next one may, up to this.
-constexpr std::uint32_t kMostBatch = 16;
+constexpr std::uint32_t kMaxBatch = 16;
 
 struct ReasonRow {
   QueueRejectReason reason;
@@ -43,7 +43,7 @@
     {QueueRejectReason::kStopping, "stopping", &QueueStatistics::rejected_stopping},
 }};
 
-const ReasonRow& row_of(QueueRejectReason reason) {
+const ReasonRow& find_reason(QueueRejectReason reason) {
   return *std::find_if(kReasons.begin(), kReasons.end(),
                        [&](const ReasonRow& row) { return row.reason == reason; });
 }
@@ -88,131 +88,131 @@
   Handle handle_;
 };
 
-AdmissionQueue::Line& AdmissionQueue::line_of(const ServiceName& service) {
-  std::unique_ptr<Line>& line = lines_[service];
-  if (!line) {
-    line = std::make_unique<Line>(surroundings_.timers);
+AdmissionQueue::ServiceState& AdmissionQueue::state_of(const ServiceName& service) {
+  std::unique_ptr<ServiceState>& state = states_[service];
+  if (!state) {
+    state = std::make_unique<ServiceState>(deps_.timers);
   }
-  return *line;
+  return *state;
 }
 
 bool AdmissionQueue::has_waiting(const ServiceName& service) const {
-  const auto found = lines_.find(service);
-  return found != lines_.end() && !found->second->waiters.empty();
+  const auto found = states_.find(service);
+  return found != states_.end() && !found->second->waiters.empty();
 }
 
 JoinResult AdmissionQueue::join(QueueRequest request, QueueWaiter& waiter) {
-  const MonotonicTime now = surroundings_.clock.now();
+  const MonotonicTime now = deps_.clock.now();
   const ServiceName service = request.service;
-  Line& line = line_of(service);
+  ServiceState& state = state_of(service);
   JoinResult result;
   if (stopping_ && request.may_be_rejected()) {
     if (!request.room_seen) {
       result.rejection =
-          make_rejection(service, line, waiter, QueueRejectReason::kStopping, Duration::zero());
+          make_rejection(service, state, waiter, QueueRejectReason::kStopping, Duration::zero());
     }
     return result;
   }
-  RetrySchedule& returns = line.queue.returns();
+  RetrySchedule& schedule = state.queue.retry_schedule();
   request.returned = request.sent_before ||
-                     (!returns.empty() && returns.take(waiter.queue_fingerprint().low, now));
+                     (!schedule.empty() && schedule.take(waiter.queue_fingerprint().low, now));
   statistics_.returned += request.returned && !request.sent_before ? 1 : 0;
   const Handle handle = next_++;
-  const JoinDecision decision = line.queue.join(handle, request, limits_, now);
+  const JoinDecision decision = state.queue.join(handle, request, limits_, now);
   if (!decision.admitted) {
     if (!request.room_seen) {
       result.rejection =
-          make_rejection(service, line, waiter, decision.reason, decision.predicted_wait);
+          make_rejection(service, state, waiter, decision.reason, decision.predicted_wait);
     }
     return result;
   }
   ++statistics_.queued;
   statistics_.probes += decision.probe ? 1 : 0;
-  line.waiters[handle] = {&waiter, decision.predicted_wait};
+  state.waiters[handle] = {&waiter, decision.predicted_wait};
   ++places_;
   result.place = std::make_unique<Place>(*this, service, handle);
   for (const Handle displaced : decision.displaced) {
-    reject(service, line, displaced, QueueRejectReason::kDisplaced);
+    reject(service, state, displaced, QueueRejectReason::kDisplaced);
   }
   if (request.room_seen) {
-    wake_now(service, line);
+    wake_now(service, state);
   } else {
-    wake_later(service, line);
+    wake_later(service, state);
   }
   return result;
 }
 
 void AdmissionQueue::leave(const ServiceName& service, Handle handle) {
-  Line& line = line_of(service);
-  if (line.waiters.erase(handle) == 0) {
+  ServiceState& state = state_of(service);
+  if (state.waiters.erase(handle) == 0) {
     return;
   }
   --places_;
   ++statistics_.left;
-  line.queue.remove(handle, surroundings_.clock.now());
+  state.queue.remove(handle, deps_.clock.now());
 }
 
 void AdmissionQueue::note_attempt_ended(const ServiceName& service, bool completed) {
-  const auto found = lines_.find(service);
-  if (found == lines_.end()) {
+  const auto found = states_.find(service);
+  if (found == states_.end()) {
     return;
   }
-  Line& line = *found->second;
+  ServiceState& state = *found->second;
   if (completed) {
-    line.queue.note_completion(surroundings_.clock.now());
+    state.queue.note_completion(deps_.clock.now());
   }
-  if (!line.waiters.empty()) {
-    wake_now(service, line);
+  if (!state.waiters.empty()) {
+    wake_now(service, state);
   }
 }
 
 /// Not inside the call: whoever calls is in the middle of a request of its own.
-void AdmissionQueue::wake_now(const ServiceName& service, Line& line) {
-  if (!std::exchange(line.due_at_once, true)) {
-    line.timer.arm(Duration::zero(), [this, service] { on_wake(service); });
+void AdmissionQueue::wake_now(const ServiceName& service, ServiceState& state) {
+  if (!std::exchange(state.due_at_once, true)) {
+    state.timer.arm(Duration::zero(), [this, service] { on_wake(service); });
   }
 }
 
-void AdmissionQueue::wake_later(const ServiceName& service, Line& line) {
-  if (line.timer.armed()) {
+void AdmissionQueue::wake_later(const ServiceName& service, ServiceState& state) {
+  if (state.timer.armed()) {
     return;
   }
-  const Duration interval = std::clamp<Duration>(kWakeIntervalPerNode * surroundings_.node_count(),
-                                                 kLeastWakeInterval, kLongestWakeInterval);
-  Duration delay = surroundings_.random.jitter(interval, kWakeJitter);
-  const MonotonicTime now = surroundings_.clock.now();
-  if (const auto due = line.queue.line().next_due_after(now + ServiceQueue::kExpiryMargin)) {
+  const Duration interval = std::clamp<Duration>(kWakeIntervalPerNode * deps_.node_count(),
+                                                 kMinWakeInterval, kMaxWakeInterval);
+  Duration delay = deps_.random.jitter(interval, kWakeJitter);
+  const MonotonicTime now = deps_.clock.now();
+  if (const auto due = state.queue.requests().next_due_after(now + ServiceQueue::kExpiryMargin)) {
     delay = std::min<Duration>(delay, *due - ServiceQueue::kExpiryMargin - now);
   }
-  line.timer.arm(delay, [this, service] { on_wake(service); });
+  state.timer.arm(delay, [this, service] { on_wake(service); });
 }
 
 void AdmissionQueue::on_wake(const ServiceName& service) {
-  Line& line = line_of(service);
-  line.due_at_once = false;
-  reject_expired(service, line);
+  ServiceState& state = state_of(service);
+  state.due_at_once = false;
+  reject_expired(service, state);
   std::uint32_t sent = 0;
-  while (sent != line.batch && send_first(line)) {
+  while (sent != state.batch && send_first(state)) {
     ++sent;
   }
-  line.batch = sent == line.batch ? std::min(2 * line.batch, kMostBatch) : 1;
-  if (!line.waiters.empty()) {
-    wake_later(service, line);
+  state.batch = sent == state.batch ? std::min(2 * state.batch, kMaxBatch) : 1;
+  if (!state.waiters.empty()) {
+    wake_later(service, state);
   }
 }
 
 /// A request for which there is no room does not keep those of other classes from theirs: a long
 /// prompt may find none where a short one does.
-bool AdmissionQueue::send_first(Line& line) {
-  for (const Handle handle : line.queue.line().heads(surroundings_.clock.now())) {
-    const auto found = line.waiters.find(handle);
-    if (found == line.waiters.end()) {
+bool AdmissionQueue::send_first(ServiceState& state) {
+  for (const Handle handle : state.queue.requests().first_of_each_class(deps_.clock.now())) {
+    const auto found = state.waiters.find(handle);
+    if (found == state.waiters.end()) {
       continue;
     }
     const Waiting waiting = found->second;
-    const MonotonicTime joined = line.queue.line().joined(handle);
+    const MonotonicTime joined = state.queue.requests().joined(handle);
     if (waiting.waiter->take_turn() == QueueTurn::kTaken) {
-      note_sent(line, handle, joined, waiting.predicted_wait);
+      note_sent(state, handle, joined, waiting.predicted_wait);
       return true;
     }
   }
@@ -220,68 +220,68 @@
 }
 
 /// Its session may have ended inside its turn, and given up its place.
-void AdmissionQueue::note_sent(Line& line, Handle handle, MonotonicTime joined,
+void AdmissionQueue::note_sent(ServiceState& state, Handle handle, MonotonicTime joined,
                                Duration predicted) {
-  const MonotonicTime now = surroundings_.clock.now();
-  if (!line.queue.serve(handle, now)) {
+  const MonotonicTime now = deps_.clock.now();
+  if (!state.queue.serve(handle, now)) {
     return;
   }
-  line.waiters.erase(handle);
+  state.waiters.erase(handle);
   --places_;
   ++statistics_.sent;
   statistics_.predicted_wait.note(predicted);
   statistics_.actual_wait.note(now - joined);
 }
 
-void AdmissionQueue::reject_expired(const ServiceName& service, Line& line) {
-  const MonotonicTime until = surroundings_.clock.now() + ServiceQueue::kExpiryMargin;
-  for (const Handle handle : line.queue.line().due_by(until)) {
-    reject(service, line, handle, QueueRejectReason::kExpired);
+void AdmissionQueue::reject_expired(const ServiceName& service, ServiceState& state) {
+  const MonotonicTime until = deps_.clock.now() + ServiceQueue::kExpiryMargin;
+  for (const Handle handle : state.queue.requests().due_by(until)) {
+    reject(service, state, handle, QueueRejectReason::kExpired);
   }
 }
 
-void AdmissionQueue::reject(const ServiceName& service, Line& line, Handle handle,
+void AdmissionQueue::reject(const ServiceName& service, ServiceState& state, Handle handle,
                             QueueRejectReason reason) {
-  const auto found = line.waiters.find(handle);
-  if (found == line.waiters.end() || !line.queue.line().may_be_rejected(handle)) {
+  const auto found = state.waiters.find(handle);
+  if (found == state.waiters.end() || !state.queue.requests().may_be_rejected(handle)) {
     return;
   }
   const Waiting waiting = found->second;
-  line.waiters.erase(found);
+  state.waiters.erase(found);
   --places_;
-  line.queue.remove(handle, surroundings_.clock.now());
+  state.queue.remove(handle, deps_.clock.now());
   waiting.waiter->on_rejected(
-      make_rejection(service, line, *waiting.waiter, reason, waiting.predicted_wait));
+      make_rejection(service, state, *waiting.waiter, reason, waiting.predicted_wait));
 }
 
 /// A stopping node has nothing to tell of later: other nodes serve the request now.
-QueueRejection AdmissionQueue::make_rejection(const ServiceName& service, Line& line,
+QueueRejection AdmissionQueue::make_rejection(const ServiceName& service, ServiceState& state,
                                               QueueWaiter& waiter, QueueRejectReason reason,
                                               Duration predicted) {
-  const ReasonRow& row = row_of(reason);
+  const ReasonRow& row = find_reason(reason);
   ++(statistics_.*row.count);
   QueueRejection rejection{.reason = reason, .predicted_wait = predicted};
   if (reason != QueueRejectReason::kStopping) {
-    rejection.retry_after = line.queue.retry_after(waiter.queue_fingerprint().low,
-                                                   surroundings_.random, surroundings_.clock.now());
+    rejection.retry_after =
+        state.queue.retry_after(waiter.queue_fingerprint().low, deps_.random, deps_.clock.now());
   }
-  surroundings_.logger.write({logging::Level::kInfo,
-                              "queue",
-                              "request rejected",
-                              {{"service", service.value()},
-                               {"reason", std::string(row.name)},
-                               {"fingerprint", waiter.queue_fingerprint().to_hex()},
-                               {"predicted_wait_ms", to_milliseconds(predicted)},
-                               {"retry_after_ms", to_milliseconds(rejection.retry_after)},
-                               {"queued", static_cast<std::uint64_t>(line.waiters.size())}}});
+  deps_.logger.write({logging::Level::kInfo,
+                      "queue",
+                      "request rejected",
+                      {{"service", service.value()},
+                       {"reason", std::string(row.name)},
+                       {"fingerprint", waiter.queue_fingerprint().to_hex()},
+                       {"predicted_wait_ms", to_milliseconds(predicted)},
+                       {"retry_after_ms", to_milliseconds(rejection.retry_after)},
+                       {"queued", static_cast<std::uint64_t>(state.waiters.size())}}});
   return rejection;
 }
 
 void AdmissionQueue::stop() {
   stopping_ = true;
-  for (const auto& [service, line] : lines_) {
-    for (const Handle handle : line->queue.line().rejectable()) {
-      reject(service, *line, handle, QueueRejectReason::kStopping);
+  for (const auto& [service, state] : states_) {
+    for (const Handle handle : state->queue.requests().rejectable()) {
+      reject(service, *state, handle, QueueRejectReason::kStopping);
     }
   }
 }
@@ -294,9 +294,9 @@
   }
   add_waits("queue_predicted_wait_seconds", statistics_.predicted_wait, sink);
   add_waits("queue_wait_seconds", statistics_.actual_wait, sink);
-  const MonotonicTime now = surroundings_.clock.now();
-  for (const auto& [service, line] : lines_) {
-    const WaitingLine& waiting = line->queue.line();
+  const MonotonicTime now = deps_.clock.now();
+  for (const auto& [service, state] : states_) {
+    const FairQueue& waiting = state->queue.requests();
     const std::vector<metrics::Label> labels{{"service", service.value()}};
     sink.gauge({"queue_requests", "Requests that wait"}, static_cast<double>(waiting.size()),
                labels);
--- a/src/admission_queue/admission_queue.h
+++ b/src/admission_queue/admission_queue.h
@@ -39,7 +39,7 @@
 class AdmissionQueue final : public gateway::RequestQueue {
  public:
   /// References outlive it.
-  struct Surroundings {
+  struct Dependencies {
     const Clock& clock;
     TimerService& timers;
     RandomSource& random;
@@ -47,8 +47,7 @@
     std::function<std::uint32_t()> node_count;  ///< At least 1, this node included.
   };
 
-  AdmissionQueue(Surroundings surroundings, QueueLimits limits)
-      : surroundings_(std::move(surroundings)), limits_(limits) {}
+  AdmissionQueue(Dependencies deps, QueueLimits limits) : deps_(std::move(deps)), limits_(limits) {}
 
   /// For requests that join from now on.
   void set_limits(const QueueLimits& limits) { limits_ = limits; }
@@ -70,8 +69,8 @@
     gateway::QueueWaiter* waiter = nullptr;
     Duration predicted_wait{};
   };
-  struct Line {
-    explicit Line(TimerService& timers) : timer(timers) {}
+  struct ServiceState {
+    explicit ServiceState(TimerService& timers) : timer(timers) {}
 
     ServiceQueue queue;
     std::map<Handle, Waiting> waiters;
@@ -81,25 +80,25 @@
   };
   class Place;
 
-  Line& line_of(const ServiceName& service);
+  ServiceState& state_of(const ServiceName& service);
   void leave(const ServiceName& service, Handle handle);
-  void wake_now(const ServiceName& service, Line& line);
-  void wake_later(const ServiceName& service, Line& line);
+  void wake_now(const ServiceName& service, ServiceState& state);
+  void wake_later(const ServiceName& service, ServiceState& state);
   void on_wake(const ServiceName& service);
   /// Whether the first request of some class was taken.
-  bool send_first(Line& line);
-  void note_sent(Line& line, Handle handle, MonotonicTime joined, Duration predicted);
-  void reject_expired(const ServiceName& service, Line& line);
-  gateway::QueueRejection make_rejection(const ServiceName& service, Line& line,
+  bool send_first(ServiceState& state);
+  void note_sent(ServiceState& state, Handle handle, MonotonicTime joined, Duration predicted);
+  void reject_expired(const ServiceName& service, ServiceState& state);
+  gateway::QueueRejection make_rejection(const ServiceName& service, ServiceState& state,
                                          gateway::QueueWaiter& waiter,
                                          gateway::QueueRejectReason reason, Duration predicted);
   /// Ends one that waits; it may be gone already.
-  void reject(const ServiceName& service, Line& line, Handle handle,
+  void reject(const ServiceName& service, ServiceState& state, Handle handle,
               gateway::QueueRejectReason reason);
 
-  Surroundings surroundings_;
+  Dependencies deps_;
   QueueLimits limits_;
-  std::map<ServiceName, std::unique_ptr<Line>> lines_;
+  std::map<ServiceName, std::unique_ptr<ServiceState>> states_;
   Handle next_ = 0;
   std::size_t places_ = 0;
   bool stopping_ = false;
--- a/src/admission_queue/completion_rate.h
+++ b/src/admission_queue/completion_rate.h
@@ -26,7 +26,7 @@
   std::optional<double> per_second(MonotonicTime now) const {
     CompletionRate current = *this;
     current.fade(now);
-    if (current.busy_seconds_ < to_seconds(kLeastSeen)) {
+    if (current.busy_seconds_ < to_seconds(kMinObserved)) {
       return std::nullopt;
     }
     return (current.completions_ + 1) / current.busy_seconds_;
@@ -34,13 +34,13 @@
 
  private:
   static constexpr Duration kHalfLife = std::chrono::seconds(2);
-  static constexpr Duration kLeastSeen = std::chrono::milliseconds(250);
+  static constexpr Duration kMinObserved = std::chrono::milliseconds(250);
 
   /// A clock that stands still or goes back adds nothing.
   void fade(MonotonicTime now) {
     const Duration since = std::max(Duration::zero(), now - at_);
-    const double lives = to_seconds(since) / to_seconds(kHalfLife);
-    const double left = std::exp2(-lives);
+    const double half_lives = to_seconds(since) / to_seconds(kHalfLife);
+    const double left = std::exp2(-half_lives);
     completions_ *= left;
     busy_seconds_ *= left;
     if (waiting_) {
--- a/src/admission_queue/waiting_line.cc
+++ b/src/admission_queue/fair_queue.cc
@@ -1,4 +1,4 @@
-#include "admission_queue/waiting_line.h"
+#include "admission_queue/fair_queue.h"
 
 #include <algorithm>
 #include <cmath>
@@ -17,11 +17,11 @@
 
 }  // namespace
 
-WaitingLine::ClassKey WaitingLine::class_of(const QueueRequest& request) {
+FairQueue::ClassKey FairQueue::class_of(const QueueRequest& request) {
   return {request.priority, request.route};
 }
 
-WaitingLine::Band WaitingLine::band_of(const QueueRequest& request, MonotonicTime now) {
+FairQueue::Band FairQueue::band_of(const QueueRequest& request, MonotonicTime now) {
   if (request.begun) {
     return Band::kBegun;
   }
@@ -31,17 +31,17 @@
   return request.returned ? Band::kReturned : Band::kNew;
 }
 
-int WaitingLine::stage_of(Band band) {
+int FairQueue::stage_of(Band band) {
   return band == Band::kBegun ? 0 : band == Band::kLate ? 2 : 1;
 }
 
-WaitingLine::Order WaitingLine::order_of(Handle handle, const Item& item) {
+FairQueue::Order FairQueue::order_of(Handle handle, const Item& item) {
   const bool on_time = item.band == Band::kReturned || item.band == Band::kNew;
   return {on_time ? item.request.target : item.request.deadline, handle};
 }
 
 /// Late requests are ordered by deadline, whatever their priority.
-WaitingLine::Rank WaitingLine::rank_of(Handle handle) const {
+FairQueue::Rank FairQueue::rank_of(Handle handle) const {
   const Item& item = items_.at(handle);
   const int stage = stage_of(item.band);
   const bool by_priority = stage == 1;
@@ -52,7 +52,7 @@
           .order = order_of(handle, item)};
 }
 
-void WaitingLine::push(Handle handle, const QueueRequest& request, MonotonicTime now) {
+void FairQueue::push(Handle handle, const QueueRequest& request, MonotonicTime now) {
   Item& item = items_[handle];
   item = {.request = request, .joined = now, .band = band_of(request, now)};
   TenantState& tenant = tenants_[request.tenant];
@@ -69,24 +69,26 @@
   if (members.size++ == 0) {
     members.last_served = std::max(members.last_served, served_);
   }
-  add_to_lane(handle, item);
+  add_to_band(handle, item);
 }
 
-void WaitingLine::add_to_lane(Handle handle, const Item& item) {
-  Lane& lane = classes_.at(class_of(item.request)).lanes.at(static_cast<std::size_t>(item.band));
-  lane[item.request.tenant].insert(order_of(handle, item));
+void FairQueue::add_to_band(Handle handle, const Item& item) {
+  TenantRequests& requests_of_band =
+      classes_.at(class_of(item.request)).bands.at(static_cast<std::size_t>(item.band));
+  requests_of_band[item.request.tenant].insert(order_of(handle, item));
 }
 
-void WaitingLine::take_from_lane(Handle handle, const Item& item) {
-  Lane& lane = classes_.at(class_of(item.request)).lanes.at(static_cast<std::size_t>(item.band));
-  const auto found = lane.find(item.request.tenant);
+void FairQueue::remove_from_band(Handle handle, const Item& item) {
+  TenantRequests& requests_of_band =
+      classes_.at(class_of(item.request)).bands.at(static_cast<std::size_t>(item.band));
+  const auto found = requests_of_band.find(item.request.tenant);
   found->second.erase(order_of(handle, item));
   if (found->second.empty()) {
-    lane.erase(found);
+    requests_of_band.erase(found);
   }
 }
 
-bool WaitingLine::remove(Handle handle) {
+bool FairQueue::remove(Handle handle) {
   const auto found = items_.find(handle);
   if (found == items_.end()) {
     return false;
@@ -95,7 +97,7 @@
   return true;
 }
 
-bool WaitingLine::serve(Handle handle) {
+bool FairQueue::serve(Handle handle) {
   const auto found = items_.find(handle);
   if (found == items_.end()) {
     return false;
@@ -109,9 +111,9 @@
   return true;
 }
 
-void WaitingLine::erase(std::map<Handle, Item>::iterator found) {
+void FairQueue::erase(std::map<Handle, Item>::iterator found) {
   const auto& [handle, item] = *found;
-  take_from_lane(handle, item);
+  remove_from_band(handle, item);
   by_target_.erase({item.request.target, handle});
   by_deadline_.erase({item.request.deadline, handle});
   bytes_ -= item.request.bytes;
@@ -123,84 +125,85 @@
     --active_tenants_;
   }
   items_.erase(found);
-  sweep_tenants();
+  remove_idle_tenants();
 }
 
 /// A tenant without requests is kept while it is ahead of its share: forgotten sooner, one that
 /// sends one request at a time would be first each time.
-void WaitingLine::sweep_tenants() {
+void FairQueue::remove_idle_tenants() {
   if (items_.empty()) {
     tenants_.clear();
     pass_ = 0;
-  } else if (tenants_.size() > 2 * active_tenants_ + kLeastSweep) {
+  } else if (tenants_.size() > 2 * active_tenants_ + kMinIdleTenants) {
     std::erase_if(tenants_, [&](const auto& entry) {
       return entry.second.waiting == 0 && entry.second.pass <= pass_;
     });
   }
 }
 
-void WaitingLine::move_late(MonotonicTime now) {
+void FairQueue::move_late_requests(MonotonicTime now) {
   while (!by_target_.empty() && by_target_.begin()->first <= now) {
     const Handle handle = by_target_.begin()->second;
     by_target_.erase(by_target_.begin());
     Item& item = items_.at(handle);
-    take_from_lane(handle, item);
+    remove_from_band(handle, item);
     item.band = Band::kLate;
-    add_to_lane(handle, item);
+    add_to_band(handle, item);
   }
 }
 
 /// `lane` is not empty.
-Handle WaitingLine::head_of(const Lane& lane) const {
-  const auto least =
-      std::min_element(lane.begin(), lane.end(), [&](const auto& left, const auto& right) {
+Handle FairQueue::first_of(const TenantRequests& requests_of_band) const {
+  const auto least = std::min_element(
+      requests_of_band.begin(), requests_of_band.end(), [&](const auto& left, const auto& right) {
         return std::pair(tenants_.at(left.first).pass, *left.second.begin()) <
                std::pair(tenants_.at(right.first).pass, *right.second.begin());
       });
   return least->second.begin()->second;
 }
 
-std::optional<Handle> WaitingLine::head_of(const RequestClass& members) const {
-  for (const Lane& lane : members.lanes) {
-    if (!lane.empty()) {
-      return head_of(lane);
+std::optional<Handle> FairQueue::first_of(const RequestClass& members) const {
+  for (const TenantRequests& requests_of_band : members.bands) {
+    if (!requests_of_band.empty()) {
+      return first_of(requests_of_band);
     }
   }
   return std::nullopt;
 }
 
-std::vector<Handle> WaitingLine::heads(MonotonicTime now) {
-  move_late(now);
-  struct Head {
+std::vector<Handle> FairQueue::first_of_each_class(MonotonicTime now) {
+  move_late_requests(now);
+  struct ClassHead {
     Rank rank;
     std::uint64_t last_served = 0;
     Handle handle = 0;
   };
-  std::vector<Head> found;
+  std::vector<ClassHead> found;
   for (const auto& [key, members] : classes_) {
-    if (const auto head = head_of(members)) {
+    if (const auto head = first_of(members)) {
       found.push_back({rank_of(*head), members.last_served, *head});
     }
   }
   std::sort(found.begin(), found.end(),
-            [](const Head& left, const Head& right) { return left.rank < right.rank; });
-  const bool shares = (served_ + 1) % kShareEvery == 0;
+            [](const ClassHead& left, const ClassHead& right) { return left.rank < right.rank; });
+  const bool shares = (served_ + 1) % kShareInterval == 0;
   if (shares && found.size() > 1 && found.front().rank.stage != 0) {
-    const auto least = std::min_element(
-        found.begin(), found.end(),
-        [](const Head& left, const Head& right) { return left.last_served < right.last_served; });
+    const auto least = std::min_element(found.begin(), found.end(),
+                                        [](const ClassHead& left, const ClassHead& right) {
+                                          return left.last_served < right.last_served;
+                                        });
     std::rotate(found.begin(), least, least + 1);
   }
   std::vector<Handle> handles;
   handles.reserve(found.size());
-  for (const Head& head : found) {
+  for (const ClassHead& head : found) {
     handles.push_back(head.handle);
   }
   return handles;
 }
 
 /// Of tenants of equal rank, each is served as often as the new request's own before it is.
-std::size_t WaitingLine::ahead_of(const QueueRequest& request, MonotonicTime now) const {
+std::size_t FairQueue::ahead_of(const QueueRequest& request, MonotonicTime now) const {
   const Band band = band_of(request, now);
   const auto rank_in = [](Band at, std::uint32_t priority) {
     const int stage = stage_of(at);
@@ -212,7 +215,7 @@
   for (const auto& [key, members] : classes_) {
     for (std::size_t i = 0; i != kBands; ++i) {
       const auto other = rank_in(static_cast<Band>(i), key.first);
-      for (const auto& [tenant, requests] : members.lanes.at(i)) {
+      for (const auto& [tenant, requests] : members.bands.at(i)) {
         if (other < own) {
           ahead += requests.size();
         } else if (other == own) {
@@ -229,7 +232,7 @@
   return ahead;
 }
 
-std::vector<Handle> WaitingLine::due_by(MonotonicTime until) const {
+std::vector<Handle> FairQueue::due_by(MonotonicTime until) const {
   std::vector<Handle> due;
   for (auto next = by_deadline_.begin(); next != by_deadline_.end() && next->first <= until;
        ++next) {
@@ -238,20 +241,20 @@
   return due;
 }
 
-std::optional<MonotonicTime> WaitingLine::next_due_after(MonotonicTime time) const {
+std::optional<MonotonicTime> FairQueue::next_due_after(MonotonicTime time) const {
   const auto next = by_deadline_.upper_bound({time, ~Handle{0}});
   return next == by_deadline_.end() ? std::nullopt : std::optional(next->first);
 }
 
-std::optional<Handle> WaitingLine::displaced_by(const QueueRequest& request) const {
+std::optional<Handle> FairQueue::displaced_by(const QueueRequest& request) const {
   const RequestClass* largest = nullptr;
   TenantName tenant;
   std::size_t most = 0;
   std::size_t own = 0;
   for (const auto& [key, members] : classes_) {
     std::map<TenantName, std::size_t> counts;
-    for (const Band band : kDisplacedFirst) {
-      for (const auto& [name, requests] : members.lanes.at(static_cast<std::size_t>(band))) {
+    for (const Band band : kDisplacementOrder) {
+      for (const auto& [name, requests] : members.bands.at(static_cast<std::size_t>(band))) {
         counts[name] += requests.size();
       }
     }
@@ -267,12 +270,12 @@
   return largest == nullptr || most < own + 2 ? std::nullopt : last_rejectable(*largest, tenant);
 }
 
-std::optional<Handle> WaitingLine::last_rejectable(const RequestClass& members,
-                                                   const TenantName& tenant) const {
-  for (const Band band : kDisplacedFirst) {
-    const Lane& lane = members.lanes.at(static_cast<std::size_t>(band));
-    const auto found = lane.find(tenant);
-    if (found == lane.end()) {
+std::optional<Handle> FairQueue::last_rejectable(const RequestClass& members,
+                                                 const TenantName& tenant) const {
+  for (const Band band : kDisplacementOrder) {
+    const TenantRequests& requests_of_band = members.bands.at(static_cast<std::size_t>(band));
+    const auto found = requests_of_band.find(tenant);
+    if (found == requests_of_band.end()) {
       continue;
     }
     const auto last = std::find_if(
@@ -285,7 +288,7 @@
   return std::nullopt;
 }
 
-std::vector<Handle> WaitingLine::rejectable() const {
+std::vector<Handle> FairQueue::rejectable() const {
   std::vector<Handle> handles;
   for (const auto& [handle, item] : items_) {
     if (item.request.may_be_rejected()) {
@@ -295,7 +298,7 @@
   return handles;
 }
 
-std::optional<MonotonicTime> WaitingLine::oldest() const {
+std::optional<MonotonicTime> FairQueue::oldest() const {
   return items_.empty() ? std::nullopt : std::optional(items_.begin()->second.joined);
 }
 
--- a/src/admission_queue/waiting_line.h
+++ b/src/admission_queue/fair_queue.h
@@ -23,9 +23,9 @@
 /// scheduling (Waldspurger and Weihl, MIT/LCS/TM-528, 1995), charged with the cost of what was
 /// sent. Every `kShareEvery`th request is of the class that was served least recently, so that each
 /// class that waits gets a share.
-class WaitingLine {
+class FairQueue {
  public:
-  static constexpr std::uint64_t kShareEvery = 8;
+  static constexpr std::uint64_t kShareInterval = 8;
 
   void push(Handle handle, const gateway::QueueRequest& request, MonotonicTime now);
   /// Without a charge: the request has left or was rejected. False: it does not wait here.
@@ -33,7 +33,7 @@
   /// Removes a request that was sent and charges its tenant. False: it does not wait here.
   bool serve(Handle handle);
   /// The first request of each class, the one to be sent first in front.
-  std::vector<Handle> heads(MonotonicTime now);
+  std::vector<Handle> first_of_each_class(MonotonicTime now);
   /// Requests that would be sent before a new one.
   std::size_t ahead_of(const gateway::QueueRequest& request, MonotonicTime now) const;
   /// Requests whose deadline is at `until` or before, earliest first.
@@ -63,15 +63,15 @@
  private:
   enum class Band : std::uint8_t { kBegun, kReturned, kNew, kLate };
   static constexpr std::size_t kBands = 4;
-  static constexpr std::array kDisplacedFirst{Band::kLate, Band::kNew, Band::kReturned};
-  static constexpr std::size_t kLeastSweep = 64;
+  static constexpr std::array kDisplacementOrder{Band::kLate, Band::kNew, Band::kReturned};
+  static constexpr std::size_t kMinIdleTenants = 64;
 
   using ClassKey = std::pair<std::uint32_t, gateway::RouteName>;
   using Order = std::pair<MonotonicTime, Handle>;
   /// Requests of one class and band, by tenant.
-  using Lane = std::map<TenantName, std::set<Order>>;
+  using TenantRequests = std::map<TenantName, std::set<Order>>;
   struct RequestClass {
-    std::array<Lane, kBands> lanes;
+    std::array<TenantRequests, kBands> bands;
     std::size_t size = 0;
     std::uint64_t last_served = 0;  ///< Number of the request in the order of sending.
   };
@@ -100,15 +100,15 @@
   static int stage_of(Band band);
   static Order order_of(Handle handle, const Item& item);
   Rank rank_of(Handle handle) const;
-  Handle head_of(const Lane& lane) const;
-  std::optional<Handle> head_of(const RequestClass& members) const;
+  Handle first_of(const TenantRequests& requests_of_band) const;
+  std::optional<Handle> first_of(const RequestClass& members) const;
   std::optional<Handle> last_rejectable(const RequestClass& members,
                                         const TenantName& tenant) const;
-  void add_to_lane(Handle handle, const Item& item);
-  void take_from_lane(Handle handle, const Item& item);
-  void move_late(MonotonicTime now);
+  void add_to_band(Handle handle, const Item& item);
+  void remove_from_band(Handle handle, const Item& item);
+  void move_late_requests(MonotonicTime now);
   void erase(std::map<Handle, Item>::iterator found);
-  void sweep_tenants();
+  void remove_idle_tenants();
 
   std::map<Handle, Item> items_;
   std::map<ClassKey, RequestClass> classes_;
--- a/src/admission_queue/retry_schedule.cc
+++ b/src/admission_queue/retry_schedule.cc
@@ -6,22 +6,22 @@
 
 Duration RetrySchedule::reserve(const Rejected& rejected, RandomSource& random, MonotonicTime now) {
   if (const auto found = due_.find(rejected.key); found != due_.end() && found->second > now) {
-    return std::max(found->second - now, kLeastWait);
+    return std::max(found->second - now, kMinWait);
   }
-  const MonotonicTime end = now + kLongestWait;
-  const MonotonicTime first = now + std::clamp(rejected.drain, kLeastWait, kLongestWait);
-  MonotonicTime due = std::max(first, last_ + std::min(rejected.interval, kLongestWait));
+  const MonotonicTime end = now + kMaxWait;
+  const MonotonicTime first = now + std::clamp(rejected.time_to_drain, kMinWait, kMaxWait);
+  MonotonicTime due = std::max(first, last_ + std::min(rejected.interval, kMaxWait));
   if (due > end) {
     // More were rejected than places become free within the longest wait.
-    const Duration least = std::min<Duration>(first - now, kLongestWait / 2);
-    due = now + least + random.part_of(kLongestWait - least);
+    const Duration least = std::min<Duration>(first - now, kMaxWait / 2);
+    due = now + least + random.part_of(kMaxWait - least);
   } else {
     last_ = due;
   }
-  if (due_.size() >= kMostKept) {
-    forget_old(now);
+  if (due_.size() >= kMaxEntries) {
+    erase_expired(now);
   }
-  if (due_.size() < kMostKept) {
+  if (due_.size() < kMaxEntries) {
     due_[rejected.key] = due;
     latest_ = std::max(latest_, due);
   }
@@ -29,21 +29,21 @@
 }
 
 bool RetrySchedule::take(std::uint64_t key, MonotonicTime now) {
-  if (latest_ + kLate < now) {
+  if (latest_ + kLateTolerance < now) {
     // Callers of an overload that is over need not be looked for among all new ones.
     due_.clear();
   }
   const auto found = due_.find(key);
-  if (found == due_.end() || now < found->second - kEarly) {
+  if (found == due_.end() || now < found->second - kEarlyTolerance) {
     return false;
   }
-  const bool in_time = now <= found->second + kLate;
+  const bool in_time = now <= found->second + kLateTolerance;
   due_.erase(found);
   return in_time;
 }
 
-void RetrySchedule::forget_old(MonotonicTime now) {
-  std::erase_if(due_, [&](const auto& entry) { return entry.second + kLate < now; });
+void RetrySchedule::erase_expired(MonotonicTime now) {
+  std::erase_if(due_, [&](const auto& entry) { return entry.second + kLateTolerance < now; });
 }
 
 }  // namespace ochrespring::admission_queue
--- a/src/admission_queue/retry_schedule.h
+++ b/src/admission_queue/retry_schedule.h
@@ -15,17 +15,17 @@
 /// that comes back sooner is told the same time again: it neither gains nor takes another's.
 class RetrySchedule {
  public:
-  static constexpr Duration kLeastWait = std::chrono::milliseconds(20);
-  static constexpr Duration kLongestWait = std::chrono::seconds(5);
+  static constexpr Duration kMinWait = std::chrono::milliseconds(20);
+  static constexpr Duration kMaxWait = std::chrono::seconds(5);
   /// A caller may come back so much sooner or later than it was told.
-  static constexpr Duration kEarly = std::chrono::milliseconds(10);
-  static constexpr Duration kLate = std::chrono::seconds(1);
-  static constexpr std::size_t kMostKept = 4096;
+  static constexpr Duration kEarlyTolerance = std::chrono::milliseconds(10);
+  static constexpr Duration kLateTolerance = std::chrono::seconds(1);
+  static constexpr std::size_t kMaxEntries = 4096;
 
   struct Rejected {
-    std::uint64_t key = 0;  ///< Names the request.
-    Duration drain{};       ///< Until those that wait now are gone.
-    Duration interval{};    ///< Between two places that become free.
+    std::uint64_t key = 0;     ///< Names the request.
+    Duration time_to_drain{};  ///< Until those that wait now are gone.
+    Duration interval{};       ///< Between two places that become free.
   };
 
   /// How long the caller should stay away.
@@ -36,7 +36,7 @@
   std::size_t size() const { return due_.size(); }
 
  private:
-  void forget_old(MonotonicTime now);
+  void erase_expired(MonotonicTime now);
 
   std::unordered_map<std::uint64_t, MonotonicTime> due_;
   MonotonicTime last_{};    ///< The latest time that was given away in order.
--- a/src/admission_queue/service_queue.h
+++ b/src/admission_queue/service_queue.h
@@ -9,8 +9,8 @@
 #include <vector>
 
 #include "admission_queue/completion_rate.h"
+#include "admission_queue/fair_queue.h"
 #include "admission_queue/retry_schedule.h"
-#include "admission_queue/waiting_line.h"
 #include "base/random.h"
 
 namespace ochrespring::admission_queue {
@@ -34,7 +34,7 @@
 class ServiceQueue {
  public:
   /// Of the requests that a prediction would reject, one in so many is admitted.
-  static constexpr std::uint32_t kProbeEvery = 16;
+  static constexpr std::uint32_t kProbeInterval = 16;
   /// A request is rejected so long before its deadline, so that the answer arrives in time.
   static constexpr Duration kExpiryMargin = std::chrono::milliseconds(20);
 
@@ -47,19 +47,19 @@
   Duration predicted_wait(const gateway::QueueRequest& request, MonotonicTime now) const;
   /// For a caller of the request `key` that is rejected now.
   Duration retry_after(std::uint64_t key, RandomSource& random, MonotonicTime now);
-  WaitingLine& line() { return line_; }
-  const WaitingLine& line() const { return line_; }
-  RetrySchedule& returns() { return returns_; }
+  FairQueue& requests() { return requests_; }
+  const FairQueue& requests() const { return requests_; }
+  RetrySchedule& retry_schedule() { return retry_schedule_; }
 
  private:
   Duration wait_behind(std::size_t ahead, MonotonicTime now) const;
   /// Whether the request fits, if those that are named in `displaced` leave.
-  bool make_room(const gateway::QueueRequest& request, const QueueLimits& limits,
+  bool find_room(const gateway::QueueRequest& request, const QueueLimits& limits,
                  std::vector<Handle>& displaced) const;
 
-  WaitingLine line_;
+  FairQueue requests_;
   CompletionRate rate_;
-  RetrySchedule returns_;
+  RetrySchedule retry_schedule_;
   std::uint32_t predicted_late_ = 0;
 };
 
--- a/src/admission_queue/tests/queue_benchmark.cc
+++ b/src/admission_queue/tests/queue_benchmark.cc
@@ -48,7 +48,7 @@
     filled.now += milliseconds(1);
     const Handle handle = filled.next++;
     filled.queue.join(handle, make_request(handle, filled.now), limits, filled.now);
-    filled.queue.serve(filled.queue.line().heads(filled.now).front(), filled.now);
+    filled.queue.serve(filled.queue.requests().first_of_each_class(filled.now).front(), filled.now);
     filled.queue.note_completion(filled.now);
   }
 }
--- a/src/admission_queue/tests/queued_request_test.cc
+++ b/src/admission_queue/tests/queued_request_test.cc
@@ -104,7 +104,7 @@
   std::vector<std::unique_ptr<QueuePlace>> places;
   for (std::uint32_t i = 0; i != kNodes; ++i) {
     queues.push_back(std::make_unique<AdmissionQueue>(
-        AdmissionQueue::Surroundings{world.time, world.time, world.random, world.logger,
+        AdmissionQueue::Dependencies{world.time, world.time, world.random, world.logger,
                                      [] { return kNodes; }},
         QueueLimits{.requests = 10}));
     waiters.push_back(std::make_unique<Waiter>(world.time));
--- a/src/admission_queue/tests/service_queue_test.cc
+++ b/src/admission_queue/tests/service_queue_test.cc
@@ -132,7 +132,7 @@
   CHECK_FALSE(world.join(large).admitted);
   large.bytes = 400;
   CHECK(world.join(large).admitted);
-  CHECK(world.queue.line().bytes() == 1000);
+  CHECK(world.queue.requests().bytes() == 1000);
 }
 
 TEST_CASE("rejected callers get times of their own, also told twice, and never too long ones") {
@@ -140,7 +140,7 @@
   SeededRandom random{1};
   const MonotonicTime now{1h};
   const auto reserve = [&](std::uint64_t key, MonotonicTime at) {
-    return schedule.reserve({.key = key, .drain = 1s, .interval = 100ms}, random, at);
+    return schedule.reserve({.key = key, .time_to_drain = 1s, .interval = 100ms}, random, at);
   };
   CHECK(reserve(1, now) == 1s);
   CHECK(reserve(2, now) == 1100ms);
@@ -150,9 +150,9 @@
   for (std::uint64_t key = 10; key != 20'000; ++key) {
     const Duration told = reserve(key, now);
     REQUIRE(told >= 1s);
-    REQUIRE(told <= RetrySchedule::kLongestWait);
+    REQUIRE(told <= RetrySchedule::kMaxWait);
   }
-  CHECK(schedule.size() <= RetrySchedule::kMostKept);
+  CHECK(schedule.size() <= RetrySchedule::kMaxEntries);
 }
 
 TEST_CASE("only a caller that comes when it was told to counts as returned, and once") {
@@ -160,7 +160,7 @@
   SeededRandom random{1};
   const MonotonicTime now{1h};
   for (std::uint64_t key = 1; key != 4; ++key) {
-    schedule.reserve({.key = key, .drain = 1s}, random, now);
+    schedule.reserve({.key = key, .time_to_drain = 1s}, random, now);
   }
   CHECK_FALSE(schedule.take(1, now + 500ms));
   CHECK(schedule.take(1, now + 1s));
--- a/src/engine_profiles/engine_profile_table.cc
+++ b/src/engine_profiles/engine_profile_table.cc
@@ -14,37 +14,37 @@
 constexpr std::string_view kComponent = "engine_profiles";
 /// Between two renewals of the medians, for each engine known: walking over 10,000 engines takes
 /// 5 ms.
-constexpr Duration kRenewalPerEngine = std::chrono::microseconds(500);
-constexpr Duration kLeastRenewalPeriod = std::chrono::milliseconds(100);
+constexpr Duration kMedianUpdatePeriodPerEngine = std::chrono::microseconds(500);
+constexpr Duration kMinMedianUpdatePeriod = std::chrono::milliseconds(100);
 constexpr Duration kLogPeriod = std::chrono::seconds(60);
 /// Samples for which the median of the service counts: an engine that few samples are known of is
 /// taken to be like the others.
 constexpr double kPriorWeight = 2;
 /// Of an engine's samples so many do not count: both of two samples can be of a slowdown, which no
 /// quantile can tell, and engines that are alike differed by 28%.
-constexpr double kUncountedSamples = 2;
+constexpr double kDiscountedSamples = 2;
 /// An engine with fewer samples left does not count in the median of its service.
-constexpr double kLeastMedianWeight = 0.5;
+constexpr double kMinMedianWeight = 0.5;
 /// Values this many times above or below the median of the service are rejected...
-constexpr double kMostRatio = 100;
+constexpr double kMaxMedianRatio = 100;
 /// ...once the median rests on so many engines: a false first value would keep out all true ones.
-constexpr std::size_t kLeastEnginesForRatio = 3;
+constexpr std::size_t kMinEnginesForRatioCheck = 3;
 /// Nanoseconds per token that no engine has, by quantity: one token in 10 us or 10 s, one prompt
 /// token in 1 ns or 1 s.
-constexpr std::array<double, kQuantities> kLeastValue{1e4, 1};
-constexpr std::array<double, kQuantities> kMostValue{1e10, 1e9};
+constexpr std::array<double, kQuantityCount> kMinNanosecondsPerToken{1e4, 1};
+constexpr std::array<double, kQuantityCount> kMaxNanosecondsPerToken{1e10, 1e9};
 /// Samples and streams of one engine that another node is believed to have at most.
-constexpr std::uint32_t kMostToldSamples = 32;
-constexpr std::uint32_t kMostToldStreams = 10'000;
+constexpr std::uint32_t kMaxReportedSamples = 32;
+constexpr std::uint32_t kMaxReportedStreams = 10'000;
 /// Shorter prompts are mostly waiting and network.
-constexpr std::uint64_t kLeastPrefillTokens = 1'000;
+constexpr std::uint64_t kMinPrefillTokens = 1'000;
 /// Observations with more than this part of the prompt's own tokens ahead are skipped: how much of
 /// those had been prefilled already is not known, and the quotient would be too small.
-constexpr double kMostPartAhead = 0.125;
+constexpr double kMaxShareAhead = 0.125;
 /// An engine that also decodes prefills at half the rate.
-constexpr double kDecodingEngineFactor = 2;
+constexpr double kDecodeEngineSlowdown = 2;
 /// Where decoding the first event takes a greater part of the time, the rest is too uncertain.
-constexpr double kMostDecodingPart = 0.5;
+constexpr double kMaxDecodeShare = 0.5;
 constexpr double kPercent = 100;
 
 constexpr metrics::CounterRow<ProfileStatistics> kCounters[] = {
@@ -83,12 +83,12 @@
   if (known == engines_.end()) {
     return profile;
   }
-  const auto& spreads = service->spreads;
-  profile.output_token = blend(known->second, Quantity::kOutputToken, spreads[0], now);
-  if (spreads[1].median != 0) {
-    profile.prompt_token = blend(known->second, Quantity::kPromptToken, spreads[1], now);
+  const auto& summaries = service->summaries;
+  profile.output_token = blend(known->second, Quantity::kOutputToken, summaries[0], now);
+  if (summaries[1].median != 0) {
+    profile.prompt_token = blend(known->second, Quantity::kPromptToken, summaries[1], now);
   }
-  profile.long_streams = known->second.long_streams.all(now);
+  profile.long_streams = known->second.long_streams.total(now);
   return profile;
 }
 
@@ -109,7 +109,7 @@
 std::optional<std::uint64_t> EngineProfileTable::events_of(const gateway::BackendId& engine,
                                                            std::uint64_t tokens) const {
   const gateway::Backend* backend = find_engine(engine);
-  const gateway::EngineShape* shape = backend == nullptr ? nullptr : shape_of(backend->service);
+  const gateway::EngineShape* shape = backend == nullptr ? nullptr : find_shape(backend->service);
   if (shape == nullptr || shape->tokens_per_event == 0) {
     return std::nullopt;
   }
@@ -118,11 +118,11 @@
 
 void EngineProfileTable::note_gaps(const gateway::GapObservation& observation, MonotonicTime now) {
   const gateway::Backend* backend = find_engine(observation.engine);
-  const gateway::EngineShape* shape = backend == nullptr ? nullptr : shape_of(backend->service);
+  const gateway::EngineShape* shape = backend == nullptr ? nullptr : find_shape(backend->service);
   if (shape == nullptr || shape->tokens_per_event == 0 || observation.gaps == 0) {
     return;
   }
-  const auto pace = engines_[backend->id].paces.during_sample(now);
+  const auto pace = engines_[backend->id].paces.pace_during_sample(now);
   if (!pace) {
     ++statistics_.skipped;
     return;
@@ -138,29 +138,29 @@
   if (backend == nullptr) {
     return;
   }
-  const auto pace = engines_[backend->id].paces.during_sample(now);
+  const auto pace = engines_[backend->id].paces.pace_during_sample(now);
   const auto own = static_cast<double>(observation.tokens);
   const auto ahead = static_cast<double>(observation.tokens_ahead);
-  if (!pace || observation.tokens < kLeastPrefillTokens || ahead > kMostPartAhead * own) {
+  if (!pace || observation.tokens < kMinPrefillTokens || ahead > kMaxShareAhead * own) {
     ++statistics_.skipped;
     return;
   }
   double took = to_nanoseconds(observation.took) / *pace;
   if (observation.with_first_event) {
     const auto profile = find(*backend, now);
-    const gateway::EngineShape* shape = shape_of(backend->service);
-    const double decoding = profile && shape != nullptr
-                                ? to_nanoseconds(profile->output_token) * shape->tokens_per_event
-                                : 0;
-    if (decoding == 0 || decoding > kMostDecodingPart * took) {
+    const gateway::EngineShape* shape = find_shape(backend->service);
+    const double decode_time = profile && shape != nullptr
+                                   ? to_nanoseconds(profile->output_token) * shape->tokens_per_event
+                                   : 0;
+    if (decode_time == 0 || decode_time > kMaxDecodeShare * took) {
       ++statistics_.skipped;
       return;
     }
-    took -= decoding;
+    took -= decode_time;
   }
   const bool decodes = backend->role == gateway::EngineRole::kDecode;
   add_sample(*backend, Quantity::kPromptToken,
-             took / (own + ahead) / (decodes ? kDecodingEngineFactor : 1), now);
+             took / (own + ahead) / (decodes ? kDecodeEngineSlowdown : 1), now);
 }
 
 void EngineProfileTable::note_pace(const gateway::BackendId& engine, std::uint32_t percent,
@@ -170,19 +170,19 @@
     return;
   }
   const double pace = percent / kPercent;
-  if (pace < 1 / kMostRatio || pace > kMostRatio) {
+  if (pace < 1 / kMaxMedianRatio || pace > kMaxMedianRatio) {
     ++statistics_.rejected;
     return;
   }
-  engines_[engine].paces.note(pace, now);
-  services_[backend->service].paces.note(pace, now);
+  engines_[engine].paces.add(pace, now);
+  services_[backend->service].paces.add(pace, now);
 }
 
 void EngineProfileTable::begin_long_stream(const gateway::BackendId& engine,
                                            MonotonicTime /*now*/) {
   if (find_engine(engine) != nullptr) {
     engines_[engine].long_streams.begin();
-    changed(engine);
+    notify_change(engine);
   }
 }
 
@@ -191,7 +191,7 @@
   const auto known = engines_.find(engine);
   if (known != engines_.end()) {
     known->second.long_streams.end();
-    changed(engine);
+    notify_change(engine);
   }
 }
 
@@ -201,7 +201,7 @@
   return engine ? backend : nullptr;
 }
 
-const gateway::EngineShape* EngineProfileTable::shape_of(const ServiceName& name) const {
+const gateway::EngineShape* EngineProfileTable::find_shape(const ServiceName& name) const {
   const gateway::Service* service =
       fleet_.routes() == nullptr ? nullptr : fleet_.routes()->configuration().find_service(name);
   return service != nullptr && service->engine ? &*service->engine : nullptr;
@@ -216,7 +216,7 @@
 Estimate EngineProfileTable::measured(const Engine& engine, Quantity quantity,
                                       MonotonicTime now) const {
   const RecentSamples& own = engine.own[index_of(quantity)];
-  Estimate estimate = engine.told[index_of(quantity)];
+  Estimate estimate = engine.reported[index_of(quantity)];
   if (!own.empty()) {
     estimate.merge(own.low_quantile_logarithm(), own.weight(now), now);
   }
@@ -224,12 +224,12 @@
 }
 
 /// Value of the engine, the nearer to the median the less is known.
-Duration EngineProfileTable::blend(const Engine& engine, Quantity quantity, const Spread& spread,
-                                   MonotonicTime now) const {
+Duration EngineProfileTable::blend(const Engine& engine, Quantity quantity,
+                                   const SpeedSummary& summary, MonotonicTime now) const {
   const Estimate own = measured(engine, quantity, now);
   Estimate estimate;
-  estimate.merge(spread.median_logarithm, kPriorWeight, now);
-  estimate.merge(own.logarithm(), std::max(0.0, own.weight_at(now) - kUncountedSamples), now);
+  estimate.merge(summary.median_logarithm, kPriorWeight, now);
+  estimate.merge(own.logarithm(), std::max(0.0, own.weight_at(now) - kDiscountedSamples), now);
   return from_nanoseconds(estimate.value());
 }
 
@@ -237,15 +237,15 @@
                                       Quantity quantity) const {
   // No number is neither above nor below.
   const std::size_t i = index_of(quantity);
-  if (!(value >= kLeastValue[i] && value <= kMostValue[i])) {
+  if (!(value >= kMinNanosecondsPerToken[i] && value <= kMaxNanosecondsPerToken[i])) {
     return false;
   }
   const Service* known = find_service(service);
-  if (known == nullptr || known->spreads[i].engines < kLeastEnginesForRatio) {
+  if (known == nullptr || known->summaries[i].engines < kMinEnginesForRatioCheck) {
     return true;
   }
-  const double median = known->spreads[i].median;
-  return value < kMostRatio * median && value > median / kMostRatio;
+  const double median = known->summaries[i].median;
+  return value < kMaxMedianRatio * median && value > median / kMaxMedianRatio;
 }
 
 void EngineProfileTable::add_sample(const gateway::Backend& engine, Quantity quantity, double value,
@@ -257,143 +257,145 @@
   ++(quantity == Quantity::kOutputToken ? statistics_.output_samples : statistics_.prompt_samples);
   Engine& known = engines_[engine.id];
   known.own[index_of(quantity)].add(static_cast<float>(value), now);
-  std::uint8_t& untold = known.untold[index_of(quantity)];
-  untold = std::min<std::uint8_t>(untold, std::numeric_limits<std::uint8_t>::max() - 1) + 1;
-  note_measured(engine.service, quantity, now);
-  changed(engine.id);
+  std::uint8_t& unreported = known.unreported[index_of(quantity)];
+  unreported = std::min<std::uint8_t>(unreported, std::numeric_limits<std::uint8_t>::max() - 1) + 1;
+  update_medians_if_due(engine.service, quantity, now);
+  notify_change(engine.id);
 }
 
-void EngineProfileTable::note_measured(const ServiceName& service, Quantity quantity,
-                                       MonotonicTime now) {
-  const bool first = services_[service].spreads[index_of(quantity)].engines == 0;
-  if (first || now - renewed_at_ >= renewal_period()) {
-    renew_medians(now);
+void EngineProfileTable::update_medians_if_due(const ServiceName& service, Quantity quantity,
+                                               MonotonicTime now) {
+  const bool first = services_[service].summaries[index_of(quantity)].engines == 0;
+  if (first || now - medians_updated_at_ >= median_update_period()) {
+    update_medians(now);
   }
 }
 
-void EngineProfileTable::changed(const gateway::BackendId& engine) const {
-  if (changed_) {
-    changed_(engine);
+void EngineProfileTable::notify_change(const gateway::BackendId& engine) const {
+  if (on_change_) {
+    on_change_(engine);
   }
 }
 
-EngineNews EngineProfileTable::own_news(const gateway::BackendId& id) const {
-  EngineNews news{.engine = id};
+EngineProfileReport EngineProfileTable::own_report(const gateway::BackendId& id) const {
+  EngineProfileReport report{.engine = id};
   const auto found = engines_.find(id);
   if (found == engines_.end()) {
-    return news;
+    return report;
   }
   const Engine& engine = found->second;
-  const auto told = [&](Quantity quantity) {
+  const auto reported = [&](Quantity quantity) {
     const std::size_t i = index_of(quantity);
-    return engine.untold[i] == 0
-               ? ToldSpeed()
-               : ToldSpeed{from_nanoseconds(std::exp(engine.own[i].low_quantile_logarithm())),
-                           engine.untold[i]};
+    return engine.unreported[i] == 0
+               ? ReportedSpeed()
+               : ReportedSpeed{from_nanoseconds(std::exp(engine.own[i].low_quantile_logarithm())),
+                               engine.unreported[i]};
   };
-  news.output = told(Quantity::kOutputToken);
-  news.prompt = told(Quantity::kPromptToken);
-  news.long_streams = engine.long_streams.own();
-  return news;
+  report.output = reported(Quantity::kOutputToken);
+  report.prompt = reported(Quantity::kPromptToken);
+  report.long_streams = engine.long_streams.own();
+  return report;
 }
 
-void EngineProfileTable::note_told(const gateway::BackendId& engine) {
+void EngineProfileTable::mark_reported(const gateway::BackendId& engine) {
   const auto found = engines_.find(engine);
   if (found != engines_.end()) {
-    found->second.untold = {};
+    found->second.unreported = {};
   }
 }
 
-void EngineProfileTable::take(const EngineNews& news, NodeIndex node, MonotonicTime now) {
-  const gateway::Backend* engine = find_engine(news.engine);
+void EngineProfileTable::receive(const EngineProfileReport& report, NodeIndex node,
+                                 MonotonicTime now) {
+  const gateway::Backend* engine = find_engine(report.engine);
   if (engine == nullptr) {
     return;
   }
-  take(*engine, Quantity::kOutputToken, news.output, now);
-  take(*engine, Quantity::kPromptToken, news.prompt, now);
-  if (news.long_streams > kMostToldStreams) {
+  merge_reported(*engine, Quantity::kOutputToken, report.output, now);
+  merge_reported(*engine, Quantity::kPromptToken, report.prompt, now);
+  if (report.long_streams > kMaxReportedStreams) {
     ++statistics_.rejected;
     return;
   }
   const auto known = engines_.find(engine->id);
   if (known != engines_.end()) {
-    known->second.long_streams.take(node, news.long_streams, now);
-  } else if (news.long_streams != 0) {
-    engines_[engine->id].long_streams.take(node, news.long_streams, now);
+    known->second.long_streams.set_remote(node, report.long_streams, now);
+  } else if (report.long_streams != 0) {
+    engines_[engine->id].long_streams.set_remote(node, report.long_streams, now);
   }
 }
 
-void EngineProfileTable::take(const gateway::Backend& engine, Quantity quantity,
-                              const ToldSpeed& told, MonotonicTime now) {
-  if (told.samples == 0) {
+void EngineProfileTable::merge_reported(const gateway::Backend& engine, Quantity quantity,
+                                        const ReportedSpeed& reported, MonotonicTime now) {
+  if (reported.samples == 0) {
     return;
   }
-  const double value = to_nanoseconds(told.token);
+  const double value = to_nanoseconds(reported.time_per_token);
   if (!is_plausible(value, engine.service, quantity)) {
     ++statistics_.rejected;
     return;
   }
-  engines_[engine.id].told[index_of(quantity)].merge(std::log(value),
-                                                     std::min(told.samples, kMostToldSamples), now);
-  note_measured(engine.service, quantity, now);
+  engines_[engine.id].reported[index_of(quantity)].merge(
+      std::log(value), std::min(reported.samples, kMaxReportedSamples), now);
+  update_medians_if_due(engine.service, quantity, now);
 }
 
-void EngineProfileTable::for_each_known(MonotonicTime now,
-                                        const std::function<bool(EngineNews)>& visit) const {
+void EngineProfileTable::for_each_known(
+    MonotonicTime now, const std::function<bool(EngineProfileReport)>& visit) const {
   const auto speed = [&](const Engine& engine, Quantity quantity) {
     const Estimate estimate = measured(engine, quantity, now);
     const auto samples = static_cast<std::uint32_t>(std::lround(estimate.weight_at(now)));
-    return samples == 0 ? ToldSpeed() : ToldSpeed{from_nanoseconds(estimate.value()), samples};
+    return samples == 0 ? ReportedSpeed()
+                        : ReportedSpeed{from_nanoseconds(estimate.value()), samples};
   };
   for (const auto& [id, engine] : engines_) {
-    EngineNews news{.engine = id,
-                    .output = speed(engine, Quantity::kOutputToken),
-                    .prompt = speed(engine, Quantity::kPromptToken),
-                    .long_streams = engine.long_streams.own()};
-    const bool known = news.output.samples + news.prompt.samples + news.long_streams != 0;
-    if (known && !visit(std::move(news))) {
+    EngineProfileReport report{.engine = id,
+                               .output = speed(engine, Quantity::kOutputToken),
+                               .prompt = speed(engine, Quantity::kPromptToken),
+                               .long_streams = engine.long_streams.own()};
+    const bool known = report.output.samples + report.prompt.samples + report.long_streams != 0;
+    if (known && !visit(std::move(report))) {
       return;
     }
   }
 }
 
-Duration EngineProfileTable::renewal_period() const {
+Duration EngineProfileTable::median_update_period() const {
   const auto engines = static_cast<std::int64_t>(engines_.size());
-  return std::max(kLeastRenewalPeriod, kRenewalPerEngine * engines);
+  return std::max(kMinMedianUpdatePeriod, kMedianUpdatePeriodPerEngine * engines);
 }
 
 /// Services of which no engine has been measured lately keep what they had.
-void EngineProfileTable::renew_medians(MonotonicTime now) {
+void EngineProfileTable::update_medians(MonotonicTime now) {
   using Measurements = std::vector<std::pair<double, const gateway::BackendId*>>;
-  std::map<ServiceName, std::array<Measurements, kQuantities>> values;
+  std::map<ServiceName, std::array<Measurements, kQuantityCount>> values;
   for (const auto& [id, engine] : engines_) {
     const gateway::Backend* backend = find_engine(id);
     for (const Quantity quantity : {Quantity::kOutputToken, Quantity::kPromptToken}) {
       const Estimate estimate = measured(engine, quantity, now);
-      if (backend != nullptr && estimate.weight_at(now) >= kLeastMedianWeight) {
+      if (backend != nullptr && estimate.weight_at(now) >= kMinMedianWeight) {
         values[backend->service][index_of(quantity)].emplace_back(estimate.value(), &id);
       }
     }
   }
   for (auto& [name, measurements] : values) {
     Service& service = services_[name];
-    for (std::size_t i = 0; i != kQuantities; ++i) {
-      Measurements& of_engines = measurements[i];
-      if (!of_engines.empty()) {
-        std::sort(of_engines.begin(), of_engines.end());
-        const double median = of_engines[of_engines.size() / 2].first;
-        service.spreads[i] = {.median = median,
-                              .median_logarithm = std::log(median),
-                              .fastest = of_engines.front().first,
-                              .slowest = of_engines.back().first,
-                              .slowest_engine = *of_engines.back().second,
-                              .engines = of_engines.size()};
+    for (std::size_t i = 0; i != kQuantityCount; ++i) {
+      Measurements& engine_values = measurements[i];
+      if (!engine_values.empty()) {
+        std::sort(engine_values.begin(), engine_values.end());
+        const double median = engine_values[engine_values.size() / 2].first;
+        service.summaries[i] = {.median = median,
+                                .median_logarithm = std::log(median),
+                                .fastest = engine_values.front().first,
+                                .slowest = engine_values.back().first,
+                                .slowest_engine = *engine_values.back().second,
+                                .engines = engine_values.size()};
       }
     }
-    service.usual.output_token = from_nanoseconds(service.spreads[0].median);
-    service.usual.prompt_token = from_nanoseconds(service.spreads[1].median);
+    service.usual.output_token = from_nanoseconds(service.summaries[0].median);
+    service.usual.prompt_token = from_nanoseconds(service.summaries[1].median);
   }
-  renewed_at_ = now;
+  medians_updated_at_ = now;
   if (now - logged_at_ >= kLogPeriod) {
     log_medians(now);
   }
@@ -402,7 +404,7 @@
 void EngineProfileTable::log_medians(MonotonicTime now) {
   logged_at_ = now;
   for (const auto& [name, service] : services_) {
-    const Spread& output = service.spreads[0];
+    const SpeedSummary& output = service.summaries[0];
     if (output.engines == 0) {
       continue;
     }
@@ -415,7 +417,7 @@
                     {"output_token_fastest_us", output.fastest * 1e-3},
                     {"output_token_slowest_us", output.slowest * 1e-3},
                     {"slowest_engine", output.slowest_engine.value()},
-                    {"prompt_token_median_us", service.spreads[1].median * 1e-3}}});
+                    {"prompt_token_median_us", service.summaries[1].median * 1e-3}}});
   }
 }
 
@@ -425,7 +427,7 @@
              static_cast<double>(engines_.size()));
   for (const auto& [name, service] : services_) {
     const std::vector<metrics::Label> labels{{"service", name.value()}};
-    const Spread& output = service.spreads[0];
+    const SpeedSummary& output = service.summaries[0];
     sink.gauge({"engine_output_token_median_seconds", "Median time per output token of engines"},
                output.median * 1e-9, labels);
     sink.gauge({"engine_output_token_fastest_seconds", "Least time per output token of an engine"},
@@ -433,7 +435,7 @@
     sink.gauge({"engine_output_token_slowest_seconds", "Most time per output token of an engine"},
                output.slowest * 1e-9, labels);
     sink.gauge({"engine_prompt_token_median_seconds", "Median prefill time per token of engines"},
-               service.spreads[1].median * 1e-9, labels);
+               service.summaries[1].median * 1e-9, labels);
   }
 }
 
--- a/src/engine_profiles/engine_profile_table.h
+++ b/src/engine_profiles/engine_profile_table.h
@@ -26,7 +26,7 @@
 
 /// What is measured of an engine.
 enum class Quantity : std::uint8_t { kOutputToken, kPromptToken };
-inline constexpr std::size_t kQuantities = 2;
+inline constexpr std::size_t kQuantityCount = 2;
 
 struct ProfileStatistics {
   std::uint64_t output_samples = 0;  ///< Of the time per output token.
@@ -64,17 +64,18 @@
 
   /// Called when this node has something new to tell of an engine.
   void on_change(std::function<void(const gateway::BackendId&)> callback) {
-    changed_ = std::move(callback);
+    on_change_ = std::move(callback);
   }
   /// What this node itself has measured since note_told(), and its long streams.
-  EngineNews own_news(const gateway::BackendId& engine) const;
+  EngineProfileReport own_report(const gateway::BackendId& engine) const;
   /// The engine's news has been told.
-  void note_told(const gateway::BackendId& engine);
+  void mark_reported(const gateway::BackendId& engine);
   /// Another node's news; values that cannot be true are ignored.
-  void take(const EngineNews& news, NodeIndex node, MonotonicTime now);
+  void receive(const EngineProfileReport& report, NodeIndex node, MonotonicTime now);
   /// Calls `visit` with all that is known of each engine, by whomever it was measured, until it
   /// returns false.
-  void for_each_known(MonotonicTime now, const std::function<bool(EngineNews)>& visit) const;
+  void for_each_known(MonotonicTime now,
+                      const std::function<bool(EngineProfileReport)>& visit) const;
   /// The engine has ended.
   void forget(const gateway::BackendId& engine) { engines_.erase(engine); }
 
@@ -84,14 +85,15 @@
 
  private:
   struct Engine {
-    std::array<RecentSamples, kQuantities> own;
-    std::array<Estimate, kQuantities> told;  ///< By other nodes.
+    std::array<RecentSamples, kQuantityCount> own;
+    std::array<Estimate, kQuantityCount> reported;  ///< By other nodes.
     PaceHistory paces;
-    std::array<std::uint8_t, kQuantities> untold{};  ///< Own samples that no node was told of.
+    std::array<std::uint8_t, kQuantityCount>
+        unreported{};  ///< Own samples that no node was told of.
     LongStreams long_streams;
   };
   /// Of the engines that have been measured, each with its own value.
-  struct Spread {
+  struct SpeedSummary {
     double median = 0;  ///< Nanoseconds per token; 0: none has been measured.
     double median_logarithm = 0;
     double fastest = 0;
@@ -101,36 +103,36 @@
   };
   struct Service {
     ServicePaces paces;
-    std::array<Spread, kQuantities> spreads;
+    std::array<SpeedSummary, kQuantityCount> summaries;
     gateway::EngineProfile usual;  ///< The medians.
   };
 
   /// Null: not registered, or no engine.
   const gateway::Backend* find_engine(const gateway::BackendId& id) const;
-  const gateway::EngineShape* shape_of(const ServiceName& service) const;
+  const gateway::EngineShape* find_shape(const ServiceName& service) const;
   const Service* find_service(const ServiceName& service) const;
   /// What is known of the engine itself; a weight of 0: nothing.
   Estimate measured(const Engine& engine, Quantity quantity, MonotonicTime now) const;
-  Duration blend(const Engine& engine, Quantity quantity, const Spread& spread,
+  Duration blend(const Engine& engine, Quantity quantity, const SpeedSummary& summary,
                  MonotonicTime now) const;
   bool is_plausible(double value, const ServiceName& service, Quantity quantity) const;
   void add_sample(const gateway::Backend& engine, Quantity quantity, double value,
                   MonotonicTime now);
-  void take(const gateway::Backend& engine, Quantity quantity, const ToldSpeed& told,
-            MonotonicTime now);
-  void changed(const gateway::BackendId& engine) const;
+  void merge_reported(const gateway::Backend& engine, Quantity quantity,
+                      const ReportedSpeed& reported, MonotonicTime now);
+  void notify_change(const gateway::BackendId& engine) const;
   /// Renews the medians if that is due, or nothing was known of the service.
-  void note_measured(const ServiceName& service, Quantity quantity, MonotonicTime now);
-  Duration renewal_period() const;
-  void renew_medians(MonotonicTime now);
+  void update_medians_if_due(const ServiceName& service, Quantity quantity, MonotonicTime now);
+  Duration median_update_period() const;
+  void update_medians(MonotonicTime now);
   void log_medians(MonotonicTime now);
 
   const gateway::FleetState& fleet_;
   logging::Logger& logger_;
   std::unordered_map<gateway::BackendId, Engine> engines_;
   std::map<ServiceName, Service> services_;
-  std::function<void(const gateway::BackendId&)> changed_;
-  MonotonicTime renewed_at_{};
+  std::function<void(const gateway::BackendId&)> on_change_;
+  MonotonicTime medians_updated_at_{};
   MonotonicTime logged_at_{};
   ProfileStatistics statistics_;
 };
--- a/src/engine_profiles/estimate.h
+++ b/src/engine_profiles/estimate.h
@@ -21,22 +21,22 @@
     if (sum > 0) {
       logarithm_ = static_cast<float>((before * logarithm_ + weight * logarithm) / sum);
     }
-    weight_ = static_cast<float>(std::min(sum, kMostWeight));
-    weighed_at_ = now;
+    weight_ = static_cast<float>(std::min(sum, kMaxWeight));
+    updated_at_ = now;
   }
   double weight_at(MonotonicTime now) const {
-    return weight_ == 0 ? 0 : weight_ * weight_at_age(now - weighed_at_);
+    return weight_ == 0 ? 0 : weight_ * weight_at_age(now - updated_at_);
   }
   /// Natural, of the value in nanoseconds.
   double logarithm() const { return logarithm_; }
   double value() const { return std::exp(logarithm_); }
 
  private:
-  static constexpr double kMostWeight = 32;
+  static constexpr double kMaxWeight = 32;
 
   float logarithm_ = 0;
   float weight_ = 0;  ///< At `weighed_at_`.
-  MonotonicTime weighed_at_{};
+  MonotonicTime updated_at_{};
 };
 
 }  // namespace ochrespring::engine_profiles
--- a/src/engine_profiles/long_streams.h
+++ b/src/engine_profiles/long_streams.h
@@ -17,35 +17,36 @@
 class LongStreams {
  public:
   /// What a node has told is believed for so long: two repetitions may be lost.
-  static constexpr Duration kBelief = std::chrono::seconds(5);
+  static constexpr Duration kReportLifetime = std::chrono::seconds(5);
 
   void begin() { ++own_; }
   void end() { own_ -= std::min(own_, 1U); }
   std::uint32_t own() const { return own_; }
 
-  void take(NodeIndex node, std::uint32_t count, MonotonicTime now) {
-    std::erase_if(told_,
-                  [&](const Told& told) { return told.node == node || now - told.at >= kBelief; });
+  void set_remote(NodeIndex node, std::uint32_t count, MonotonicTime now) {
+    std::erase_if(remote_counts_, [&](const RemoteCount& remote) {
+      return remote.node == node || now - remote.at >= kReportLifetime;
+    });
     if (count != 0) {
-      told_.push_back({node, count, now});
+      remote_counts_.push_back({node, count, now});
     }
   }
-  std::uint32_t all(MonotonicTime now) const {
-    return std::accumulate(told_.begin(), told_.end(), own_,
-                           [&](std::uint32_t sum, const Told& told) {
-                             return now - told.at < kBelief ? sum + told.count : sum;
+  std::uint32_t total(MonotonicTime now) const {
+    return std::accumulate(remote_counts_.begin(), remote_counts_.end(), own_,
+                           [&](std::uint32_t sum, const RemoteCount& remote) {
+                             return now - remote.at < kReportLifetime ? sum + remote.count : sum;
                            });
   }
 
  private:
-  struct Told {
+  struct RemoteCount {
     NodeIndex node;
     std::uint32_t count;
     MonotonicTime at;
   };
 
   std::uint32_t own_ = 0;
-  std::vector<Told> told_;
+  std::vector<RemoteCount> remote_counts_;
 };
 
 }  // namespace ochrespring::engine_profiles
--- a/src/engine_profiles/pace_history.cc
+++ b/src/engine_profiles/pace_history.cc
@@ -4,28 +4,29 @@
 
 namespace ochrespring::engine_profiles {
 
-void PaceHistory::note(double pace, MonotonicTime now) {
+void PaceHistory::add(double pace, MonotonicTime now) {
   last_ = static_cast<float>(pace);
   last_at_ = now;
-  if (size_ != 0 && now - spaced_at_ < kSpacing) {
+  if (size_ != 0 && now - spaced_at_ < kMinSpacing) {
     return;
   }
   spaced_[next_] = last_;
   spaced_at_ = now;
-  next_ = static_cast<std::uint8_t>((next_ + 1) % kSpacedReports);
-  size_ = std::min<std::uint8_t>(size_ + 1, kSpacedReports);
+  next_ = static_cast<std::uint8_t>((next_ + 1) % kMaxSpacedReports);
+  size_ = std::min<std::uint8_t>(size_ + 1, kMaxSpacedReports);
 }
 
-double PaceHistory::usual() const {
-  return size_ < kLeastReports ? 1.0 : *std::min_element(spaced_.begin(), spaced_.begin() + size_);
+double PaceHistory::baseline() const {
+  return size_ < kMinSpacedReports ? 1.0
+                                   : *std::min_element(spaced_.begin(), spaced_.begin() + size_);
 }
 
-std::optional<double> PaceHistory::during_sample(MonotonicTime now) const {
-  const double usual_pace = usual();
-  if (size_ == 0 || now - last_at_ > kBelief) {
-    return usual_pace;
+std::optional<double> PaceHistory::pace_during_sample(MonotonicTime now) const {
+  const double baseline_pace = baseline();
+  if (size_ == 0 || now - last_at_ > kPaceLifetime) {
+    return baseline_pace;
   }
-  const double ratio = last_ / usual_pace;
+  const double ratio = last_ / baseline_pace;
   if (ratio > kTolerance || ratio < 1 / kTolerance) {
     return std::nullopt;
   }
--- a/src/engine_profiles/profile_exchange.cc
+++ b/src/engine_profiles/profile_exchange.cc
@@ -14,186 +14,187 @@
 
 constexpr metrics::CounterRow<ProfileExchangeStatistics> kCounters[] = {
     {"engine_profile_news_told", "Datagrams on engines' speed for other nodes",
-     &ProfileExchangeStatistics::told},
+     &ProfileExchangeStatistics::reports_sent},
     {"engine_profile_news_taken", "News of other nodes on engines' speed",
-     &ProfileExchangeStatistics::taken},
+     &ProfileExchangeStatistics::reports_received},
     {"engine_profile_news_repeated", "Of these, known already",
-     &ProfileExchangeStatistics::repeated},
+     &ProfileExchangeStatistics::duplicates},
     {"engine_profile_changes_dropped", "Changes that were too many to be told to other nodes",
-     &ProfileExchangeStatistics::dropped},
+     &ProfileExchangeStatistics::changes_dropped},
 };
 
 }  // namespace
 
-ProfileExchange::ProfileExchange(World world, NodeId node, Peers peers)
-    : world_(world),
+ProfileExchange::ProfileExchange(Dependencies deps, NodeId node, Transport transport)
+    : deps_(deps),
       node_(std::move(node)),
-      life_(world.random.next()),
-      peers_(std::move(peers)),
-      period_(world.timers),
-      gather_(world.timers) {
-  world_.table.on_change([this](const gateway::BackendId& engine) { note_change(engine); });
+      incarnation_(deps.random.next()),
+      transport_(std::move(transport)),
+      report_timer_(deps.timers),
+      relay_timer_(deps.timers) {
+  deps_.table.on_change([this](const gateway::BackendId& engine) { note_change(engine); });
 }
 
 /// Nodes that were started together do not tell at the same moments.
 void ProfileExchange::start() {
-  period_.arm(world_.random.part_of(kPeriod), [this] { tell_changes(); });
+  report_timer_.arm(deps_.random.part_of(kReportPeriod), [this] { send_changes(); });
 }
 
 void ProfileExchange::note_change(const gateway::BackendId& engine) {
-  if (changed_.size() < kMostChanges || changed_.contains(engine)) {
-    changed_.insert(engine);
+  if (pending_changes_.size() < kMaxPendingChanges || pending_changes_.contains(engine)) {
+    pending_changes_.insert(engine);
   } else {
-    ++statistics_.dropped;
+    ++statistics_.changes_dropped;
   }
 }
 
-void ProfileExchange::tell_changes() {
-  period_.arm(kPeriod, [this] { tell_changes(); });
-  repeat_long_streams();
-  ProfileNews news = make_news();
-  std::size_t bytes = kEnvelopeBytes + wire::encode(news).size();
-  auto next = changed_.upper_bound(told_last_);
-  while (!changed_.empty()) {
-    if (next == changed_.end()) {
-      next = changed_.begin();
+void ProfileExchange::send_changes() {
+  report_timer_.arm(kReportPeriod, [this] { send_changes(); });
+  requeue_long_streams();
+  ProfileReport report = make_report();
+  std::size_t bytes = kEnvelopeBytes + wire::encode(report).size();
+  auto next = pending_changes_.upper_bound(last_reported_);
+  while (!pending_changes_.empty()) {
+    if (next == pending_changes_.end()) {
+      next = pending_changes_.begin();
     }
-    EngineNews of_engine = world_.table.own_news(*next);
-    const std::size_t more = wire::encode(of_engine).size();
-    if (bytes + more > kMostBytes) {
+    EngineProfileReport engine_report = deps_.table.own_report(*next);
+    const std::size_t added_bytes = wire::encode(engine_report).size();
+    if (bytes + added_bytes > kMaxMessageBytes) {
       break;
     }
-    bytes += more;
-    world_.table.note_told(*next);
-    if (of_engine.long_streams != 0) {
-      streaming_[*next] = world_.clock.now();
+    bytes += added_bytes;
+    deps_.table.mark_reported(*next);
+    if (engine_report.long_streams != 0) {
+      long_stream_engines_[*next] = deps_.clock.now();
     } else {
-      streaming_.erase(*next);
+      long_stream_engines_.erase(*next);
     }
-    told_last_ = *next;
-    next = changed_.erase(next);
-    news.engines.push_back(std::move(of_engine));
+    last_reported_ = *next;
+    next = pending_changes_.erase(next);
+    report.engines.push_back(std::move(engine_report));
   }
-  if (!news.engines.empty()) {
-    ++statistics_.told;
-    peers_.tell_all(news);
+  if (!report.engines.empty()) {
+    ++statistics_.reports_sent;
+    transport_.broadcast(report);
   }
 }
 
-void ProfileExchange::repeat_long_streams() {
-  const MonotonicTime now = world_.clock.now();
-  for (const auto& [engine, told_at] : streaming_) {
-    if (now - told_at >= kRepeat) {
+void ProfileExchange::requeue_long_streams() {
+  const MonotonicTime now = deps_.clock.now();
+  for (const auto& [engine, reported_at] : long_stream_engines_) {
+    if (now - reported_at >= kLongStreamRepeatPeriod) {
       note_change(engine);
     }
   }
 }
 
-ProfileNews ProfileExchange::make_news() {
-  return {.node = node_, .life = life_, .sequence = ++sequence_, .engines = {}};
+ProfileReport ProfileExchange::make_report() {
+  return {.node = node_, .incarnation = incarnation_, .sequence = ++sequence_, .engines = {}};
 }
 
-void ProfileExchange::take(const ProfileNews& news) {
-  const Peer* peer = note_peer(news);
+void ProfileExchange::receive(const ProfileReport& report) {
+  const Peer* peer = accept_report(report);
   if (peer == nullptr) {
     return;
   }
-  const MonotonicTime now = world_.clock.now();
-  for (const EngineNews& of_engine : news.engines) {
-    world_.table.take(of_engine, peer->index, now);
+  const MonotonicTime now = deps_.clock.now();
+  for (const EngineProfileReport& engine_report : report.engines) {
+    deps_.table.receive(engine_report, peer->index, now);
   }
 }
 
-void ProfileExchange::take(const RelayedProfileNews& relayed) {
-  for (const ProfileNews& news : relayed.news) {
-    take(news);
+void ProfileExchange::receive(const RelayedProfileReports& relayed) {
+  for (const ProfileReport& report : relayed.reports) {
+    receive(report);
   }
 }
 
-void ProfileExchange::take_to_relay(const ProfileNews& news) {
-  const std::size_t bytes = wire::encode(news).size();
-  if (kEnvelopeBytes + bytes > kMostBytes) {
+void ProfileExchange::receive_for_relay(const ProfileReport& report) {
+  const std::size_t bytes = wire::encode(report).size();
+  if (kEnvelopeBytes + bytes > kMaxMessageBytes) {
     // No node sends this.
     return;
   }
-  take(news);
-  if (kEnvelopeBytes + to_zone_bytes_ + bytes > kMostBytes) {
-    flush_relayed();
+  receive(report);
+  if (kEnvelopeBytes + relay_batch_bytes_ + bytes > kMaxMessageBytes) {
+    flush_relay_batch();
   }
-  to_zone_.news.push_back(news);
-  to_zone_bytes_ += bytes;
-  if (!gather_.armed()) {
-    gather_.arm(kGather, [this] { flush_relayed(); });
+  relay_batch_.reports.push_back(report);
+  relay_batch_bytes_ += bytes;
+  if (!relay_timer_.armed()) {
+    relay_timer_.arm(kRelayBatchDelay, [this] { flush_relay_batch(); });
   }
 }
 
-void ProfileExchange::flush_relayed() {
-  gather_.disarm();
-  to_zone_bytes_ = 0;
-  const RelayedProfileNews relayed = std::exchange(to_zone_, {});
-  if (!relayed.news.empty()) {
-    peers_.tell_zone(relayed);
+void ProfileExchange::flush_relay_batch() {
+  relay_timer_.disarm();
+  relay_batch_bytes_ = 0;
+  const RelayedProfileReports relayed = std::exchange(relay_batch_, {});
+  if (!relayed.reports.empty()) {
+    transport_.send_to_zone(relayed);
   }
 }
 
-const ProfileExchange::Peer* ProfileExchange::note_peer(const ProfileNews& news) {
-  if (news.node == node_) {
+const ProfileExchange::Peer* ProfileExchange::accept_report(const ProfileReport& report) {
+  if (report.node == node_) {
     return nullptr;
   }
-  const MonotonicTime now = world_.clock.now();
-  if (heard_.size() >= kMostPeers && !heard_.contains(news.node)) {
-    std::erase_if(heard_,
-                  [&](const auto& peer) { return now - peer.second.heard_at > kPeerSilence; });
-    if (heard_.size() >= kMostPeers) {
+  const MonotonicTime now = deps_.clock.now();
+  if (peers_by_node_.size() >= kMaxPeers && !peers_by_node_.contains(report.node)) {
+    std::erase_if(peers_by_node_, [&](const auto& peer) {
+      return now - peer.second.last_received_at > kPeerTimeout;
+    });
+    if (peers_by_node_.size() >= kMaxPeers) {
       return nullptr;
     }
   }
-  const auto [entry, fresh] = heard_.try_emplace(news.node);
+  const auto [entry, fresh] = peers_by_node_.try_emplace(report.node);
   Peer& peer = entry->second;
   if (fresh) {
     peer.index = next_index_++;
-  } else if (peer.life == news.life && news.sequence <= peer.sequence) {
-    ++statistics_.repeated;
+  } else if (peer.incarnation == report.incarnation && report.sequence <= peer.sequence) {
+    ++statistics_.duplicates;
     return nullptr;
   }
-  peer.life = news.life;
-  peer.sequence = news.sequence;
-  peer.heard_at = now;
-  ++statistics_.taken;
+  peer.incarnation = report.incarnation;
+  peer.sequence = report.sequence;
+  peer.last_received_at = now;
+  ++statistics_.reports_received;
   return &peer;
 }
 
-void ProfileExchange::tell_all(const std::function<void(const ProfileNews&)>& send) {
-  const MonotonicTime now = world_.clock.now();
-  ProfileNews news = make_news();
-  std::size_t bytes = kEnvelopeBytes + wire::encode(news).size();
-  std::size_t answers = 0;
+void ProfileExchange::send_all(const std::function<void(const ProfileReport&)>& send) {
+  const MonotonicTime now = deps_.clock.now();
+  ProfileReport report = make_report();
+  std::size_t bytes = kEnvelopeBytes + wire::encode(report).size();
+  std::size_t messages_sent = 0;
   const auto flush = [&] {
-    if (!news.engines.empty()) {
-      ++answers;
-      send(news);
+    if (!report.engines.empty()) {
+      ++messages_sent;
+      send(report);
     }
-    news = make_news();
-    bytes = kEnvelopeBytes + wire::encode(news).size();
+    report = make_report();
+    bytes = kEnvelopeBytes + wire::encode(report).size();
   };
-  world_.table.for_each_known(now, [&](EngineNews of_engine) {
-    const std::size_t more = wire::encode(of_engine).size();
-    if (bytes + more > kMostBytes) {
+  deps_.table.for_each_known(now, [&](EngineProfileReport engine_report) {
+    const std::size_t added_bytes = wire::encode(engine_report).size();
+    if (bytes + added_bytes > kMaxMessageBytes) {
       flush();
     }
-    bytes += more;
-    news.engines.push_back(std::move(of_engine));
-    return answers < kMostAnswers;
+    bytes += added_bytes;
+    report.engines.push_back(std::move(engine_report));
+    return messages_sent < kMaxFullReportMessages;
   });
-  if (answers < kMostAnswers) {
+  if (messages_sent < kMaxFullReportMessages) {
     flush();
   }
 }
 
 void ProfileExchange::forget(const gateway::BackendId& engine) {
-  changed_.erase(engine);
-  streaming_.erase(engine);
-  world_.table.forget(engine);
+  pending_changes_.erase(engine);
+  long_stream_engines_.erase(engine);
+  deps_.table.forget(engine);
 }
 
 void ProfileExchange::add_metrics(metrics::SampleSink& sink) const {
--- a/src/engine_profiles/recent_samples.cc
+++ b/src/engine_profiles/recent_samples.cc
@@ -9,25 +9,25 @@
 
 void RecentSamples::add(float value, MonotonicTime now) {
   double weight = this->weight(now);
-  if (weight < kLeastWeight) {
+  if (weight < kMinWeight) {
     size_ = 0;
     next_ = 0;
     weight = 0;
   }
   values_[next_] = value;
-  next_ = static_cast<std::uint8_t>((next_ + 1) % kMostSamples);
-  size_ = static_cast<std::uint8_t>(std::min<std::size_t>(size_ + 1U, kMostSamples));
-  weight_ = static_cast<float>(std::min<double>(weight + 1, kMostSamples));
-  weighed_at_ = now;
+  next_ = static_cast<std::uint8_t>((next_ + 1) % kMaxSamples);
+  size_ = static_cast<std::uint8_t>(std::min<std::size_t>(size_ + 1U, kMaxSamples));
+  weight_ = static_cast<float>(std::min<double>(weight + 1, kMaxSamples));
+  updated_at_ = now;
   logarithm_ = static_cast<float>(std::log(low_quantile()));
 }
 
 double RecentSamples::weight(MonotonicTime now) const {
-  return weight_ * weight_at_age(now - weighed_at_);
+  return weight_ * weight_at_age(now - updated_at_);
 }
 
 double RecentSamples::low_quantile() const {
-  std::array<float, kMostSamples> sorted = values_;
+  std::array<float, kMaxSamples> sorted = values_;
   std::sort(sorted.begin(), sorted.begin() + size_);
   const double position = kQuantile * (size_ - 1);
   const auto below = static_cast<std::size_t>(position);
--- a/src/engine_profiles/recent_samples.h
+++ b/src/engine_profiles/recent_samples.h
@@ -24,17 +24,17 @@
  private:
   double low_quantile() const;
 
-  static constexpr std::size_t kMostSamples = 10;
+  static constexpr std::size_t kMaxSamples = 10;
   static constexpr double kQuantile = 0.25;
   /// Samples that weigh less than this together are dropped when the next one comes.
-  static constexpr double kLeastWeight = 0.25;
+  static constexpr double kMinWeight = 0.25;
 
-  std::array<float, kMostSamples> values_{};
+  std::array<float, kMaxSamples> values_{};
   float logarithm_ = 0;  ///< Kept, since it is asked for more often than samples come.
   float weight_ = 0;     ///< At `weighed_at_`.
   std::uint8_t size_ = 0;
   std::uint8_t next_ = 0;
-  MonotonicTime weighed_at_{};
+  MonotonicTime updated_at_{};
 };
 
 }  // namespace ochrespring::engine_profiles
--- a/src/engine_profiles/service_paces.cc
+++ b/src/engine_profiles/service_paces.cc
@@ -6,14 +6,14 @@
 
 namespace ochrespring::engine_profiles {
 
-ServicePaces::ServicePaces() : counts_(std::make_tuple(Axis(kBins, kLeastPace, kMostPace))) {}
+ServicePaces::ServicePaces() : counts_(std::make_tuple(Axis(kBins, kMinPace, kMaxPace))) {}
 
-void ServicePaces::note(double pace, MonotonicTime now) {
-  const auto left = static_cast<float>(weight_at_age(now - faded_at_));
+void ServicePaces::add(double pace, MonotonicTime now) {
+  const auto left = static_cast<float>(weight_at_age(now - decayed_at_));
   for (float& count : boost::histogram::unsafe_access::storage(counts_)) {
     count *= left;
   }
-  faded_at_ = now;
+  decayed_at_ = now;
   counts_(pace);
 }
 
@@ -28,7 +28,7 @@
     // The bin that holds the factor counts by the part of it that lies above.
     slower += counts_.at(bin) * std::clamp((high - factor) / (high - low), 0.0, 1.0);
   }
-  const double left = weight_at_age(now - faded_at_);
+  const double left = weight_at_age(now - decayed_at_);
   return slower * left / (all * left + kPriorReports);
 }
 
--- a/src/engine_profiles/service_paces.h
+++ b/src/engine_profiles/service_paces.h
@@ -13,7 +13,7 @@
  public:
   ServicePaces();
 
-  void note(double pace, MonotonicTime now);
+  void add(double pace, MonotonicTime now);
   /// Share of reports of a pace above `factor`, 0 to 1; 0 without reports.
   double share_slower_than(double factor, MonotonicTime now) const;
 
@@ -23,15 +23,15 @@
       boost::histogram::histogram<std::tuple<Axis>, boost::histogram::dense_storage<float>>;
 
   /// Paces from 0.25 to 16 in steps of 4%; all others share two bins.
-  static constexpr double kLeastPace = 0.25;
-  static constexpr double kMostPace = 16;
+  static constexpr double kMinPace = 0.25;
+  static constexpr double kMaxPace = 16;
   static constexpr unsigned kBins = 96;
   /// Reports of the usual pace that are assumed at first: one slow report says little. They do not
   /// fade, so that the share sinks when reports cease.
   static constexpr double kPriorReports = 4;
 
   Histogram counts_;
-  MonotonicTime faded_at_{};
+  MonotonicTime decayed_at_{};
 };
 
 }  // namespace ochrespring::engine_profiles
--- a/src/engine_profiles/tests/memory_test.cc
+++ b/src/engine_profiles/tests/memory_test.cc
@@ -24,8 +24,8 @@
 
 constexpr int kEngines = 10'000;
 constexpr int kNodes = 66;
-constexpr int kEnginesOfNews = 25;
-constexpr std::size_t kMostBytes = 4'000'000;
+constexpr int kEnginesPerReport = 25;
+constexpr std::size_t kMaxTableBytes = 4'000'000;
 
 std::size_t bytes_in_use() {
   const auto info = mallinfo2();
@@ -42,7 +42,7 @@
   const std::size_t before = bytes_in_use();
   auto table = std::make_unique<EngineProfileTable>(fleet, logger);
   ProfileExchange exchange({time, time, random, *table}, NodeId("n0"),
-                           {.tell_all = [](const auto&) {}, .tell_zone = [](const auto&) {}});
+                           {.broadcast = [](const auto&) {}, .send_to_zone = [](const auto&) {}});
   exchange.start();
   // This node uses every engine itself, and all others tell of long streams as fast as they may.
   for (int i = 0; i != kEngines; ++i) {
@@ -51,25 +51,25 @@
     table->begin_long_stream(engine_id(i), time.now());
   }
   int next = 0;
-  std::size_t most = 0;
+  std::size_t most_bytes = 0;
   for (int second = 1; second != 20; ++second) {
     for (int node = 1; node != kNodes; ++node) {
-      ProfileNews news{.node = NodeId("n" + std::to_string(node)),
-                       .life = 1,
-                       .sequence = static_cast<std::uint64_t>(second),
-                       .engines = {}};
-      for (int i = 0; i != kEnginesOfNews; ++i) {
-        news.engines.push_back({.engine = engine_id(next++ % kEngines),
-                                .output = {Duration(540'000), 3},
-                                .prompt = {Duration(2'000), 3},
-                                .long_streams = 2});
+      ProfileReport report{.node = NodeId("n" + std::to_string(node)),
+                           .incarnation = 1,
+                           .sequence = static_cast<std::uint64_t>(second),
+                           .engines = {}};
+      for (int i = 0; i != kEnginesPerReport; ++i) {
+        report.engines.push_back({.engine = engine_id(next++ % kEngines),
+                                  .output = {Duration(540'000), 3},
+                                  .prompt = {Duration(2'000), 3},
+                                  .long_streams = 2});
       }
-      exchange.take_to_relay(news);
+      exchange.receive_for_relay(report);
     }
     time.run_until(time.now() + seconds(1));
-    most = std::max(most, bytes_in_use() - before);
+    most_bytes = std::max(most_bytes, bytes_in_use() - before);
   }
   CHECK(table->size() == kEngines);
-  MESSAGE("bytes: " << most);
-  CHECK(most < kMostBytes);
+  MESSAGE("bytes: " << most_bytes);
+  CHECK(most_bytes < kMaxTableBytes);
 }
--- a/src/engine_profiles/tests/profile_exchange_test.cc
+++ b/src/engine_profiles/tests/profile_exchange_test.cc
@@ -26,10 +26,10 @@
        std::uint64_t seed)
       : random(seed),
         table(fleet, logger),
-        exchange(
-            {time, time, random, table}, NodeId(name),
-            {.tell_all = [this](const ProfileNews& news) { told.push_back(news); },
-             .tell_zone = [this](const RelayedProfileNews& news) { relayed.push_back(news); }}) {
+        exchange({time, time, random, table}, NodeId(name),
+                 {.broadcast = [this](const ProfileReport& report) { sent.push_back(report); },
+                  .send_to_zone =
+                      [this](const RelayedProfileReports& report) { relayed.push_back(report); }}) {
     exchange.start();
   }
 
@@ -37,8 +37,8 @@
   logging::NullLogger logger;
   EngineProfileTable table;
   ProfileExchange exchange;
-  std::vector<ProfileNews> told;
-  std::vector<RelayedProfileNews> relayed;
+  std::vector<ProfileReport> sent;
+  std::vector<RelayedProfileReports> relayed;
 };
 
 struct ExchangeFixture {
@@ -59,10 +59,10 @@
   void advance(Duration span, bool delivered = true) {
     time.run_until(time.now() + span);
     for (const auto& from : nodes) {
-      for (const ProfileNews& news : std::exchange(from->told, {})) {
+      for (const ProfileReport& report : std::exchange(from->sent, {})) {
         for (const auto& to : nodes) {
           if (delivered && to != from) {
-            to->exchange.take(news);
+            to->exchange.receive(report);
           }
         }
       }
@@ -132,54 +132,54 @@
   }
   for (int second = 0; second != 6; ++second) {
     fixture.time.run_until(fixture.time.now() + seconds(1));
-    REQUIRE(fixture.nodes[0]->told.size() <= 1);
-    for (const ProfileNews& news : fixture.nodes[0]->told) {
-      CHECK(wire::encode(news).size() + 1 <= ProfileExchange::kMostBytes);
+    REQUIRE(fixture.nodes[0]->sent.size() <= 1);
+    for (const ProfileReport& report : fixture.nodes[0]->sent) {
+      CHECK(wire::encode(report).size() + 1 <= ProfileExchange::kMaxMessageBytes);
     }
     fixture.advance(Duration::zero());
   }
   CHECK(fixture.nodes[1]->table.size() == 100);
-  CHECK(fixture.nodes[0]->exchange.statistics().told <= 6);
+  CHECK(fixture.nodes[0]->exchange.statistics().reports_sent <= 6);
 }
 
 TEST_CASE("news that come twice or by two relays count once") {
   ExchangeFixture fixture(2, 4);
   fixture.gaps(*fixture.nodes[0], 0, kToken);
   fixture.time.run_until(fixture.time.now() + seconds(1));
-  REQUIRE(fixture.nodes[0]->told.size() == 1);
-  const ProfileNews news = fixture.nodes[0]->told[0];
+  REQUIRE(fixture.nodes[0]->sent.size() == 1);
+  const ProfileReport report = fixture.nodes[0]->sent[0];
   for (int relay = 1; relay != 3; ++relay) {
-    fixture.nodes[relay]->exchange.take_to_relay(news);
+    fixture.nodes[relay]->exchange.receive_for_relay(report);
   }
   fixture.time.run_until(fixture.time.now() + seconds(1));
   for (int relay = 1; relay != 3; ++relay) {
     REQUIRE(fixture.nodes[relay]->relayed.size() == 1);
-    fixture.nodes[3]->exchange.take(fixture.nodes[relay]->relayed[0]);
+    fixture.nodes[3]->exchange.receive(fixture.nodes[relay]->relayed[0]);
   }
   CHECK(fixture.output(*fixture.nodes[3], 0) == doctest::Approx(1).epsilon(0.01));
-  CHECK(fixture.nodes[3]->exchange.statistics().taken == 1);
-  CHECK(fixture.nodes[3]->exchange.statistics().repeated == 1);
+  CHECK(fixture.nodes[3]->exchange.statistics().reports_received == 1);
+  CHECK(fixture.nodes[3]->exchange.statistics().duplicates == 1);
   // A relay may hear its own zone's news again; its own are never taken.
-  fixture.nodes[0]->exchange.take(fixture.nodes[1]->relayed[0]);
-  CHECK(fixture.nodes[0]->exchange.statistics().taken == 0);
+  fixture.nodes[0]->exchange.receive(fixture.nodes[1]->relayed[0]);
+  CHECK(fixture.nodes[0]->exchange.statistics().reports_received == 0);
 }
 
 TEST_CASE("a relay passes full datagrams on at once, and none that is too long") {
   ExchangeFixture fixture(60, 2);
   Node& relay = *fixture.nodes[0];
   for (int i = 0; i != 12; ++i) {
-    ProfileNews news{
-        .node = NodeId("m" + std::to_string(i)), .life = 1, .sequence = 1, .engines = {}};
+    ProfileReport report{
+        .node = NodeId("m" + std::to_string(i)), .incarnation = 1, .sequence = 1, .engines = {}};
     for (int engine = 0; engine != 5; ++engine) {
-      news.engines.push_back({.engine = engine_id(engine + i), .output = {kToken, 1}});
+      report.engines.push_back({.engine = engine_id(engine + i), .output = {kToken, 1}});
     }
-    relay.exchange.take_to_relay(news);
+    relay.exchange.receive_for_relay(report);
   }
   fixture.time.run_until(fixture.time.now() + seconds(1));
   std::size_t passed_on = 0;
-  for (const RelayedProfileNews& relayed : relay.relayed) {
-    CHECK(wire::encode(relayed).size() + 1 <= ProfileExchange::kMostBytes);
-    passed_on += relayed.news.size();
+  for (const RelayedProfileReports& relayed : relay.relayed) {
+    CHECK(wire::encode(relayed).size() + 1 <= ProfileExchange::kMaxMessageBytes);
+    passed_on += relayed.reports.size();
   }
   CHECK(passed_on == 12);
   CHECK(relay.relayed.size() <= 3);
@@ -192,12 +192,13 @@
       fixture.gaps(*fixture.nodes[0], i, i % 4 == 0 ? 2 * kToken : kToken);
     }
   }
-  std::vector<ProfileNews> answers;
-  fixture.nodes[0]->exchange.tell_all([&](const ProfileNews& news) { answers.push_back(news); });
-  CHECK(answers.size() > 1);
-  for (const ProfileNews& news : answers) {
-    CHECK(wire::encode(news).size() + 1 <= ProfileExchange::kMostBytes);
-    fixture.nodes[1]->exchange.take(news);
+  std::vector<ProfileReport> messages;
+  fixture.nodes[0]->exchange.send_all(
+      [&](const ProfileReport& report) { messages.push_back(report); });
+  CHECK(messages.size() > 1);
+  for (const ProfileReport& report : messages) {
+    CHECK(wire::encode(report).size() + 1 <= ProfileExchange::kMaxMessageBytes);
+    fixture.nodes[1]->exchange.receive(report);
   }
   CHECK(fixture.output(*fixture.nodes[1], 0) == doctest::Approx(2).epsilon(0.15));
   CHECK(fixture.output(*fixture.nodes[1], 59) == doctest::Approx(1).epsilon(0.02));
@@ -207,30 +208,30 @@
   ExchangeFixture fixture(8, 1);
   Node& node = *fixture.nodes[0];
   std::uint64_t sequence = 0;
-  const auto tell = [&](int engine, Duration token, std::uint32_t streams = 0) {
-    node.exchange.take(ProfileNews{.node = NodeId("liar"),
-                                   .life = 1,
-                                   .sequence = ++sequence,
-                                   .engines = {{.engine = engine_id(engine),
-                                                .output = {token, 1'000'000'000},
-                                                .long_streams = streams}}});
+  const auto report_speed = [&](int engine, Duration token, std::uint32_t streams = 0) {
+    node.exchange.receive(ProfileReport{.node = NodeId("liar"),
+                                        .incarnation = 1,
+                                        .sequence = ++sequence,
+                                        .engines = {{.engine = engine_id(engine),
+                                                     .output = {token, 1'000'000'000},
+                                                     .long_streams = streams}}});
   };
   for (const Duration token : {Duration::zero(), -kToken, Duration::min(), Duration::max()}) {
-    tell(0, token);
+    report_speed(0, token);
   }
   CHECK_FALSE(fixture.find(node, 0));
   for (int engine = 0; engine != 4; ++engine) {
-    tell(engine, kToken);
+    report_speed(engine, kToken);
   }
   fixture.time.run_until(fixture.time.now() + seconds(1));
-  tell(1, kToken);
-  tell(5, 101 * kToken);
-  tell(5, kToken / 101);
-  tell(6, Duration::zero(), 4'000'000'000U);
+  report_speed(1, kToken);
+  report_speed(5, 101 * kToken);
+  report_speed(5, kToken / 101);
+  report_speed(6, Duration::zero(), 4'000'000'000U);
   CHECK(fixture.output(node, 5) == doctest::Approx(1).epsilon(0.01));
   CHECK(fixture.find(node, 6)->long_streams == 0);
   // An engine that is not registered is not remembered: nothing would ever forget it.
   const std::size_t before = node.table.size();
-  tell(99, kToken);
+  report_speed(99, kToken);
   CHECK(node.table.size() == before);
 }
--- a/src/engine_profiles/types.h
+++ b/src/engine_profiles/types.h
@@ -11,27 +11,27 @@
 namespace ochrespring::engine_profiles {
 
 /// Undisturbed time per token, and how many new samples speak for it; 0 samples: nothing is told.
-struct ToldSpeed {
-  Duration token{};
+struct ReportedSpeed {
+  Duration time_per_token{};
   std::uint32_t samples = 0;
 
-  bool operator==(const ToldSpeed&) const = default;
+  bool operator==(const ReportedSpeed&) const = default;
 
   template <class Archive>
   void serialize(Archive& archive, unsigned /*version*/) {
-    archive& token;
+    archive& time_per_token;
     archive& samples;
   }
 };
 
 /// One engine as one node knows it.
-struct EngineNews {
+struct EngineProfileReport {
   gateway::BackendId engine;
-  ToldSpeed output{};
-  ToldSpeed prompt{};
+  ReportedSpeed output{};
+  ReportedSpeed prompt{};
   std::uint32_t long_streams = 0;  ///< Of the node's own callers, now.
 
-  bool operator==(const EngineNews&) const = default;
+  bool operator==(const EngineProfileReport&) const = default;
 
   template <class Archive>
   void serialize(Archive& archive, unsigned /*version*/) {
@@ -43,28 +43,28 @@
 };
 
 /// One datagram. Values are absolute: what is lost is replaced by the next one.
-struct ProfileNews {
+struct ProfileReport {
   NodeId node;
-  std::uint64_t life = 0;      ///< Drawn at the sender's start.
-  std::uint64_t sequence = 0;  ///< Rises within one life.
-  std::vector<EngineNews> engines;
+  std::uint64_t incarnation = 0;  ///< Drawn at the sender's start.
+  std::uint64_t sequence = 0;     ///< Rises within one life.
+  std::vector<EngineProfileReport> engines;
 
   template <class Archive>
   void serialize(Archive& archive, unsigned /*version*/) {
     archive& node;
-    archive& life;
+    archive& incarnation;
     archive& sequence;
     archive& engines;
   }
 };
 
 /// News of several nodes, from a relay.
-struct RelayedProfileNews {
-  std::vector<ProfileNews> news;
+struct RelayedProfileReports {
+  std::vector<ProfileReport> reports;
 
   template <class Archive>
   void serialize(Archive& archive, unsigned /*version*/) {
-    archive& news;
+    archive& reports;
   }
 };
 
--- a/src/fuzzing/targets/node_datagrams.cc
+++ b/src/fuzzing/targets/node_datagrams.cc
@@ -57,10 +57,10 @@
                               [](const Endpoint&) {}};
   rate_limit::RateLimiter limiter{
       {time, time, random, logger, fleet, nodes},
-      {.tell_all = [this](const auto& told) { news.tell_limits(told); },
-       .tell = [this](const Endpoint& to, const auto& told) { news.send(to, told); },
-       .ask = [this](const Endpoint& to, const auto& told) { news.send(to, told); },
-       .reply = [this](const Endpoint& to, const auto& told) { news.send(to, told); }}};
+      {.broadcast = [this](const auto& told) { news.tell_limits(told); },
+       .send = [this](const Endpoint& to, const auto& told) { news.send(to, told); },
+       .send_request = [this](const Endpoint& to, const auto& told) { news.send(to, told); },
+       .send_reply = [this](const Endpoint& to, const auto& told) { news.send(to, told); }}};
 
   admission::AdmissionControl admission{
       {time, random, logger, fleet, loads, limiter},
@@ -69,8 +69,8 @@
   engine_profiles::ProfileExchange exchange{
       {time, time, random, profiles},
       NodeId("self"),
-      {.tell_all = [this](const auto& told) { news.tell_profiles(told); },
-       .tell_zone = [this](const auto& told) { news.tell_zone_profiles(told); }}};
+      {.broadcast = [this](const auto& told) { news.tell_profiles(told); },
+       .send_to_zone = [this](const auto& told) { news.tell_zone_profiles(told); }}};
 
   Node() {
     nodes.put({NodeId("other"), Endpoint("10.0.0.3:80"), ZoneName("a"), Endpoint("10.0.0.3:81")});
@@ -81,16 +81,17 @@
     engine.id = gateway::BackendId("i-7f3a91c2@1787834510949");
     engine.role = gateway::EngineRole::kDecode;
     fleet.put(engine);
-    news.on_limits({.take = [this](const auto& told) { limiter.take(told); },
-                    .take_request = [this](const auto& told) { limiter.take(told); },
-                    .take_reply = [this](const auto& told) { limiter.take(told); },
-                    .tell_all = [this](const auto& send) { limiter.tell_all(send); }});
+    news.on_limits({.take = [this](const auto& told) { limiter.receive(told); },
+                    .take_request = [this](const auto& told) { limiter.receive(told); },
+                    .take_reply = [this](const auto& told) { limiter.receive(told); },
+                    .tell_all = [this](const auto& send) { limiter.send_all(send); }});
     news.on_notices({.take = [this](const auto& told) { admission.take(told); },
                      .tell_all = [this](const auto& send) { admission.tell_all(send); }});
-    news.on_profiles({.take = [this](const auto& told) { exchange.take(told); },
-                      .take_to_relay = [this](const auto& told) { exchange.take_to_relay(told); },
-                      .take_relayed = [this](const auto& told) { exchange.take(told); },
-                      .tell_all = [this](const auto& send) { exchange.tell_all(send); }});
+    news.on_profiles(
+        {.take = [this](const auto& told) { exchange.receive(told); },
+         .take_to_relay = [this](const auto& told) { exchange.receive_for_relay(told); },
+         .take_relayed = [this](const auto& told) { exchange.receive(told); },
+         .tell_all = [this](const auto& send) { exchange.send_all(send); }});
     exchange.start();
   }
   /// A request that waits for leave to go to the server while datagrams come.
--- a/src/gateway_node/gateway_node.cc
+++ b/src/gateway_node/gateway_node.cc
@@ -101,18 +101,21 @@
            .node_count = [this] { return nodes_.count(); }}),
       rate_limiter_(
           {clock, loop, random, logger, fleet_, nodes_},
-          {.tell_all = [this](const auto& news) { peer_news_.tell_limits(news); },
-           .tell = [this](const Endpoint& to, const auto& news) { peer_news_.send(to, news); },
-           .ask = [this](const Endpoint& to, const auto& ask) { peer_news_.send(to, ask); },
-           .reply = [this](const Endpoint& to, const auto& told) { peer_news_.send(to, told); }}),
+          {.broadcast = [this](const auto& news) { peer_news_.tell_limits(news); },
+           .send = [this](const Endpoint& to, const auto& news) { peer_news_.send(to, news); },
+           .send_request = [this](const Endpoint& to,
+                                  const auto& ask) { peer_news_.send(to, ask); },
+           .send_reply = [this](const Endpoint& to,
+                                const auto& told) { peer_news_.send(to, told); }}),
       admission_({clock, random, logger, fleet_, loads_, rate_limiter_},
                  [this](const auto& notice) { peer_news_.tell_notice(notice); }),
       queue_({clock, loop, random, logger, [this] { return nodes_.cautious_count(); }},
              settings_.queue),
       profile_exchange_(
           {clock, loop, random, profiles_}, settings_.node,
-          {.tell_all = [this](const auto& news) { peer_news_.tell_profiles(news); },
-           .tell_zone = [this](const auto& relayed) { peer_news_.tell_zone_profiles(relayed); }}),
+          {.broadcast = [this](const auto& news) { peer_news_.tell_profiles(news); },
+           .send_to_zone =
+               [this](const auto& relayed) { peer_news_.tell_zone_profiles(relayed); }}),
       survey_(clock, adapter_.engines, fleet_, loads_,
               [this](const gateway::BackendId& engine, http::ClientRequest request,
                      std::function<void(std::string)> done) {
@@ -240,20 +243,20 @@
 
 void GatewayNode::connect_admission() {
   peer_news_.on_limits(
-      {.take = [this](const auto& news) { rate_limiter_.take(news); },
-       .take_request = [this](const auto& request) { rate_limiter_.take(request); },
-       .take_reply = [this](const auto& reply) { rate_limiter_.take(reply); },
-       .tell_all = [this](const auto& send) { rate_limiter_.tell_all(send); }});
+      {.take = [this](const auto& news) { rate_limiter_.receive(news); },
+       .take_request = [this](const auto& request) { rate_limiter_.receive(request); },
+       .take_reply = [this](const auto& reply) { rate_limiter_.receive(reply); },
+       .tell_all = [this](const auto& send) { rate_limiter_.send_all(send); }});
   peer_news_.on_notices({.take = [this](const auto& notice) { admission_.take(notice); },
                          .tell_all = [this](const auto& send) { admission_.tell_all(send); }});
 }
 
 void GatewayNode::connect_profiles() {
   peer_news_.on_profiles(
-      {.take = [this](const auto& news) { profile_exchange_.take(news); },
-       .take_to_relay = [this](const auto& news) { profile_exchange_.take_to_relay(news); },
-       .take_relayed = [this](const auto& relayed) { profile_exchange_.take(relayed); },
-       .tell_all = [this](const auto& send) { profile_exchange_.tell_all(send); }});
+      {.take = [this](const auto& news) { profile_exchange_.receive(news); },
+       .take_to_relay = [this](const auto& news) { profile_exchange_.receive_for_relay(news); },
+       .take_relayed = [this](const auto& relayed) { profile_exchange_.receive(relayed); },
+       .tell_all = [this](const auto& send) { profile_exchange_.send_all(send); }});
   profile_exchange_.start();
 }
 
--- a/src/gateway_node/peer_channel.cc
+++ b/src/gateway_node/peer_channel.cc
@@ -140,7 +140,7 @@
   tell_every_node(news);
 }
 
-void PeerChannel::tell_limits(const rate_limit::LimitNews& news) {
+void PeerChannel::tell_limits(const rate_limit::LimitReport& news) {
   tell_every_node(news);
 }
 
@@ -159,7 +159,7 @@
 }
 
 /// A relay's own news need not be gathered: it is one of the nodes that tell.
-void PeerChannel::tell_profiles(const engine_profiles::ProfileNews& news) {
+void PeerChannel::tell_profiles(const engine_profiles::ProfileReport& news) {
   tell_every_node(news);
 }
 
--- a/src/gateway_node/peer_channel.h
+++ b/src/gateway_node/peer_channel.h
@@ -43,14 +43,14 @@
   std::function<void(const quarantine::HorizonRequest&)> horizon_request{};
   std::function<void(const quarantine::HorizonReport&)> horizon_report{};
   std::function<void(const NodeLeaving&)> leaving;
-  std::function<void(const rate_limit::LimitNews&)> limits{};
+  std::function<void(const rate_limit::LimitReport&)> limits{};
   std::function<void(const rate_limit::PermitRequest&)> permit_request{};
   std::function<void(const rate_limit::PermitReply&)> permit_reply{};
   std::function<void(const admission::BackendNotice&)> notice{};
-  std::function<void(const engine_profiles::ProfileNews&)> profiles{};
+  std::function<void(const engine_profiles::ProfileReport&)> profiles{};
   /// As a relay: to be told to the nodes of its zone as well.
-  std::function<void(const engine_profiles::ProfileNews&)> profiles_to_relay{};
-  std::function<void(const engine_profiles::RelayedProfileNews&)> relayed_profiles{};
+  std::function<void(const engine_profiles::ProfileReport&)> profiles_to_relay{};
+  std::function<void(const engine_profiles::RelayedProfileReports&)> relayed_profiles{};
 };
 
 struct PeerChannelOptions {
@@ -97,13 +97,13 @@
   /// To every node, in a large fleet by its relays.
   void tell_crashes(const quarantine::CrashNews& news);
   /// To every node, in a large fleet by its relays.
-  void tell_limits(const rate_limit::LimitNews& news);
+  void tell_limits(const rate_limit::LimitReport& news);
   /// To every node, in a large fleet by its relays.
   void tell_notice(const admission::BackendNotice& notice);
   /// To every node, in a large fleet by its relays, which gather what they pass on.
-  void tell_profiles(const engine_profiles::ProfileNews& news);
+  void tell_profiles(const engine_profiles::ProfileReport& news);
   /// As a relay: to the nodes of the zone.
-  void tell_zone_profiles(const engine_profiles::RelayedProfileNews& relayed) {
+  void tell_zone_profiles(const engine_profiles::RelayedProfileReports& relayed) {
     send_to(relays_.zone_members(), relayed);
   }
   /// As a relay: to the nodes of the zone.
@@ -143,15 +143,17 @@
   void take(const UpdateToRelay& told);
   void take(const NodeLeaving& told) { handlers_.leaving(told); }
   void take(const NodeLeavingToRelay& told);
-  void take(const rate_limit::LimitNews& told) { handlers_.limits(told); }
+  void take(const rate_limit::LimitReport& told) { handlers_.limits(told); }
   void take(const LimitNewsToRelay& told);
   void take(const rate_limit::PermitRequest& told) { handlers_.permit_request(told); }
   void take(const rate_limit::PermitReply& told) { handlers_.permit_reply(told); }
   void take(const admission::BackendNotice& told) { handlers_.notice(told); }
   void take(const BackendNoticeToRelay& told);
-  void take(const engine_profiles::ProfileNews& told) { handlers_.profiles(told); }
+  void take(const engine_profiles::ProfileReport& told) { handlers_.profiles(told); }
   void take(const ProfileNewsToRelay& told) { handlers_.profiles_to_relay(told.message); }
-  void take(const engine_profiles::RelayedProfileNews& told) { handlers_.relayed_profiles(told); }
+  void take(const engine_profiles::RelayedProfileReports& told) {
+    handlers_.relayed_profiles(told);
+  }
   template <int kPlace>
   void take(const FormerMessage<kPlace>& /*told*/) {}
 
--- a/src/gateway_node/peer_message.h
+++ b/src/gateway_node/peer_message.h
@@ -52,9 +52,9 @@
 using CrashNewsToRelay = ToRelay<quarantine::CrashNews>;
 using UpdateToRelay = ToRelay<discovery::ViewUpdate>;
 using NodeLeavingToRelay = ToRelay<NodeLeaving>;
-using LimitNewsToRelay = ToRelay<rate_limit::LimitNews>;
+using LimitNewsToRelay = ToRelay<rate_limit::LimitReport>;
 using BackendNoticeToRelay = ToRelay<admission::BackendNotice>;
-using ProfileNewsToRelay = ToRelay<engine_profiles::ProfileNews>;
+using ProfileNewsToRelay = ToRelay<engine_profiles::ProfileReport>;
 
 /// In the place of a message that nodes of earlier builds send and this build does not read: their
 /// revisions name no life of the store. It is never sent, and taken for no message when it comes.
@@ -71,11 +71,11 @@
     std::variant<peer_load::WorkReport, FormerMessage<1>, peer_load::PartsRequest, ViewOffer,
                  ReportToRelay, peer_load::RelayedReport, FormerMessage<6>, usage::UsageReport,
                  quarantine::CrashNews, CrashNewsToRelay, discovery::ViewUpdate, UpdateToRelay,
-                 NodeLeaving, NodeLeavingToRelay, rate_limit::LimitNews, LimitNewsToRelay,
+                 NodeLeaving, NodeLeavingToRelay, rate_limit::LimitReport, LimitNewsToRelay,
                  rate_limit::PermitRequest, rate_limit::PermitReply, admission::BackendNotice,
                  BackendNoticeToRelay, quarantine::HorizonRequest, quarantine::HorizonReport,
-                 discovery::PositionNews, discovery::HistoryNews, engine_profiles::ProfileNews,
-                 ProfileNewsToRelay, engine_profiles::RelayedProfileNews>;
+                 discovery::PositionNews, discovery::HistoryNews, engine_profiles::ProfileReport,
+                 ProfileNewsToRelay, engine_profiles::RelayedProfileReports>;
 
 /// Names of the alternatives, in order, for metrics.
 constexpr std::array<const char*, std::variant_size_v<PeerMessage>> kPeerMessageNames{
--- a/src/gateway_node/peer_news.cc
+++ b/src/gateway_node/peer_news.cc
@@ -112,7 +112,7 @@
           [this](const NodeLeaving& told) {
             world_.nodes.note_leaving(told.node, told.registered);
           },
-      .limits = [this](const rate_limit::LimitNews& news) { call_if_set(limits_.take, news); },
+      .limits = [this](const rate_limit::LimitReport& news) { call_if_set(limits_.take, news); },
       .permit_request =
           [this](const rate_limit::PermitRequest& request) {
             call_if_set(limits_.take_request, request);
@@ -122,13 +122,13 @@
       .notice =
           [this](const admission::BackendNotice& notice) { call_if_set(notices_.take, notice); },
       .profiles =
-          [this](const engine_profiles::ProfileNews& news) { call_if_set(profiles_.take, news); },
+          [this](const engine_profiles::ProfileReport& news) { call_if_set(profiles_.take, news); },
       .profiles_to_relay =
-          [this](const engine_profiles::ProfileNews& news) {
+          [this](const engine_profiles::ProfileReport& news) {
             call_if_set(profiles_.take_to_relay, news);
           },
       .relayed_profiles =
-          [this](const engine_profiles::RelayedProfileNews& relayed) {
+          [this](const engine_profiles::RelayedProfileReports& relayed) {
             call_if_set(profiles_.take_relayed, relayed);
           }};
 }
@@ -180,7 +180,7 @@
   tell_all_crashes(request.reply_to);
   if (limits_.tell_all) {
     limits_.tell_all(
-        [&](const rate_limit::LimitNews& news) { channel_.send(request.reply_to, news); });
+        [&](const rate_limit::LimitReport& news) { channel_.send(request.reply_to, news); });
   }
   if (notices_.tell_all) {
     notices_.tell_all(
@@ -188,7 +188,7 @@
   }
   if (profiles_.tell_all) {
     profiles_.tell_all(
-        [&](const engine_profiles::ProfileNews& news) { channel_.send(request.reply_to, news); });
+        [&](const engine_profiles::ProfileReport& news) { channel_.send(request.reply_to, news); });
   }
 }
 
--- a/src/gateway_node/peer_news.h
+++ b/src/gateway_node/peer_news.h
@@ -85,14 +85,14 @@
   void tell_zone_crashes(const quarantine::CrashNews& news) { channel_.tell_zone_crashes(news); }
   /// News of back ends' rate limits, and permits for sends to them.
   struct LimitHandlers {
-    std::function<void(const rate_limit::LimitNews&)> take;
+    std::function<void(const rate_limit::LimitReport&)> take;
     std::function<void(const rate_limit::PermitRequest&)> take_request;
     std::function<void(const rate_limit::PermitReply&)> take_reply;
     /// A node that has started is to be told all, by calls of `send`.
-    std::function<void(const std::function<void(const rate_limit::LimitNews&)>& send)> tell_all;
+    std::function<void(const std::function<void(const rate_limit::LimitReport&)>& send)> tell_all;
   };
   void on_limits(LimitHandlers handlers) { limits_ = std::move(handlers); }
-  void tell_limits(const rate_limit::LimitNews& news) { channel_.tell_limits(news); }
+  void tell_limits(const rate_limit::LimitReport& news) { channel_.tell_limits(news); }
   /// News of back ends that ask for less.
   struct NoticeHandlers {
     std::function<void(const admission::BackendNotice&)> take;
@@ -103,16 +103,16 @@
   void tell_notice(const admission::BackendNotice& notice) { channel_.tell_notice(notice); }
   /// News of how fast engines work.
   struct ProfileHandlers {
-    std::function<void(const engine_profiles::ProfileNews&)> take;
-    std::function<void(const engine_profiles::ProfileNews&)> take_to_relay;
-    std::function<void(const engine_profiles::RelayedProfileNews&)> take_relayed;
+    std::function<void(const engine_profiles::ProfileReport&)> take;
+    std::function<void(const engine_profiles::ProfileReport&)> take_to_relay;
+    std::function<void(const engine_profiles::RelayedProfileReports&)> take_relayed;
     /// A node that has started is to be told all, by calls of `send`.
-    std::function<void(const std::function<void(const engine_profiles::ProfileNews&)>& send)>
+    std::function<void(const std::function<void(const engine_profiles::ProfileReport&)>& send)>
         tell_all;
   };
   void on_profiles(ProfileHandlers handlers) { profiles_ = std::move(handlers); }
-  void tell_profiles(const engine_profiles::ProfileNews& news) { channel_.tell_profiles(news); }
-  void tell_zone_profiles(const engine_profiles::RelayedProfileNews& relayed) {
+  void tell_profiles(const engine_profiles::ProfileReport& news) { channel_.tell_profiles(news); }
+  void tell_zone_profiles(const engine_profiles::RelayedProfileReports& relayed) {
     channel_.tell_zone_profiles(relayed);
   }
   /// To one node.
--- a/src/gateway_node/tests/compatibility_test.cc
+++ b/src/gateway_node/tests/compatibility_test.cc
@@ -139,9 +139,10 @@
   }
   const auto news = wire::decode<PeerMessage>(corpus.at("profile_news"));
   REQUIRE(news);
-  const auto& told = std::get<engine_profiles::ProfileNews>(news.value());
+  const auto& told = std::get<engine_profiles::ProfileReport>(news.value());
   REQUIRE(told.engines.size() == 1);
-  CHECK(told.engines[0].output == engine_profiles::ToldSpeed{std::chrono::microseconds(540), 12});
+  CHECK(told.engines[0].output ==
+        engine_profiles::ReportedSpeed{std::chrono::microseconds(540), 12});
   CHECK(told.engines[0].long_streams == 2);
 }
 
@@ -161,7 +162,7 @@
   CHECK(PeerMessage(NodeLeaving()).index() >= kKindsBefore);
   CHECK(PeerMessage(NodeLeavingToRelay()).index() >= kKindsBefore);
   constexpr std::size_t kKindsBeforeRateLimits = 14;
-  CHECK(PeerMessage(rate_limit::LimitNews()).index() == kKindsBeforeRateLimits);
+  CHECK(PeerMessage(rate_limit::LimitReport()).index() == kKindsBeforeRateLimits);
   CHECK(PeerMessage(rate_limit::PermitReply()).index() == kKindsBeforeRateLimits + 3);
   constexpr std::size_t kKindsBeforeNotices = 18;
   CHECK(PeerMessage(admission::BackendNotice()).index() == kKindsBeforeNotices);
@@ -171,8 +172,8 @@
   constexpr std::size_t kKindsBeforeHistory = 23;
   CHECK(PeerMessage(discovery::HistoryNews()).index() == kKindsBeforeHistory);
   constexpr std::size_t kKindsBeforeProfiles = 24;
-  CHECK(PeerMessage(engine_profiles::ProfileNews()).index() == kKindsBeforeProfiles);
-  CHECK(PeerMessage(engine_profiles::RelayedProfileNews()).index() == kKindsBeforeProfiles + 2);
+  CHECK(PeerMessage(engine_profiles::ProfileReport()).index() == kKindsBeforeProfiles);
+  CHECK(PeerMessage(engine_profiles::RelayedProfileReports()).index() == kKindsBeforeProfiles + 2);
 }
 
 TEST_CASE("kinds of builds to come, and bytes behind a known one, are left alone") {
--- a/src/gateway_node/tests/crash_fleet.h
+++ b/src/gateway_node/tests/crash_fleet.h
@@ -743,10 +743,10 @@
            .node_count = [this] { return nodes.count(); }}),
       rate_limiter(
           {clock, machine, limiter_random, fleet.logger, view, nodes},
-          {.tell_all = [this](const auto& told) { news.tell_limits(told); },
-           .tell = [this](const Endpoint& to, const auto& told) { news.send(to, told); },
-           .ask = [this](const Endpoint& to, const auto& told) { news.send(to, told); },
-           .reply = [this](const Endpoint& to, const auto& told) { news.send(to, told); }}),
+          {.broadcast = [this](const auto& told) { news.tell_limits(told); },
+           .send = [this](const Endpoint& to, const auto& told) { news.send(to, told); },
+           .send_request = [this](const Endpoint& to, const auto& told) { news.send(to, told); },
+           .send_reply = [this](const Endpoint& to, const auto& told) { news.send(to, told); }}),
       admission({clock, limiter_random, fleet.logger, view, loads, rate_limiter},
                 [this](const auto& told) { news.tell_notice(told); }),
       gateway({clock,
@@ -785,10 +785,10 @@
                    .take_horizon = [this](const auto& told) { quarantine.take(told); },
                    .horizon = [this] { return quarantine.horizon(); }});
   watcher.on_first_listing([this] { quarantine.on_first_listing(); });
-  news.on_limits({.take = [this](const auto& told) { rate_limiter.take(told); },
-                  .take_request = [this](const auto& told) { rate_limiter.take(told); },
-                  .take_reply = [this](const auto& told) { rate_limiter.take(told); },
-                  .tell_all = [this](const auto& send) { rate_limiter.tell_all(send); }});
+  news.on_limits({.take = [this](const auto& told) { rate_limiter.receive(told); },
+                  .take_request = [this](const auto& told) { rate_limiter.receive(told); },
+                  .take_reply = [this](const auto& told) { rate_limiter.receive(told); },
+                  .tell_all = [this](const auto& send) { rate_limiter.send_all(send); }});
   news.on_notices({.take = [this](const auto& told) { admission.take(told); },
                    .tell_all = [this](const auto& send) { admission.tell_all(send); }});
   watcher.on_store_state([this](bool reachable) { news.on_store_state(reachable); });
--- a/src/gateway_node/tests/peer_channel_test.cc
+++ b/src/gateway_node/tests/peer_channel_test.cc
@@ -56,7 +56,7 @@
                  .leaving = [this](const auto&) { ++leaving_words; },
                  .profiles = [this](const auto&) { ++profile_news; },
                  .profiles_to_relay =
-                     [this](const engine_profiles::ProfileNews& news) {
+                     [this](const engine_profiles::ProfileReport& news) {
                        ++profile_news;
                        channel.tell_zone_profiles({{news}});
                      },
--- a/src/gateway_node/tests/profile_news_test.cc
+++ b/src/gateway_node/tests/profile_news_test.cc
@@ -28,9 +28,10 @@
   Profiles(LargeFleet& large, FleetNode& node)
       : node_(node),
         table(node.fleet, large.logger),
-        exchange({large.time, large.time, node.random, table}, node.record.node,
-                 {.tell_all = [&node](const auto& news) { node.news.tell_profiles(news); },
-                  .tell_zone = [&node](const auto& told) { node.news.tell_zone_profiles(told); }}) {
+        exchange(
+            {large.time, large.time, node.random, table}, node.record.node,
+            {.broadcast = [&node](const auto& news) { node.news.tell_profiles(news); },
+             .send_to_zone = [&node](const auto& told) { node.news.tell_zone_profiles(told); }}) {
     gateway::Service service{.name = node.fleet.find(engine_id(0))->service};
     service.engine = gateway::EngineShape{.slots = 6, .tokens_per_event = kTokensPerEvent};
     gateway::Configuration configuration;
@@ -38,10 +39,10 @@
     configuration.services.push_back(service);
     node.fleet.apply(configuration);
     node.news.on_profiles(
-        {.take = [this](const auto& news) { exchange.take(news); },
-         .take_to_relay = [this](const auto& news) { exchange.take_to_relay(news); },
-         .take_relayed = [this](const auto& told) { exchange.take(told); },
-         .tell_all = [this](const auto& send) { exchange.tell_all(send); }});
+        {.take = [this](const auto& news) { exchange.receive(news); },
+         .take_to_relay = [this](const auto& news) { exchange.receive_for_relay(news); },
+         .take_relayed = [this](const auto& told) { exchange.receive(told); },
+         .tell_all = [this](const auto& send) { exchange.send_all(send); }});
     exchange.start();
   }
   double output(int engine, MonotonicTime now) const {
@@ -89,7 +90,7 @@
   const auto sent = [&] {
     std::uint64_t datagrams = 0;
     for (const auto& node : fleet.nodes) {
-      for (std::size_t kind = PeerMessage(engine_profiles::ProfileNews()).index();
+      for (std::size_t kind = PeerMessage(engine_profiles::ProfileReport()).index();
            kind != kPeerMessageNames.size(); ++kind) {
         datagrams += node->news.channel().traffic(kind).datagrams;
       }
--- a/src/rate_limit/limit_table.cc
+++ b/src/rate_limit/limit_table.cc
@@ -9,16 +9,16 @@
 using Kind = gateway::RateStatement::Kind;
 
 /// Of two nodes that raised the same version, the one that heard the lower limit is believed.
-bool is_newer(const LimitNews& news, const LimitNews& known) {
-  if (news.version != known.version || news.says_same(known)) {
-    return news.version > known.version;
+bool is_newer(const LimitReport& report, const LimitReport& known) {
+  if (report.version != known.version || report.same_limit_as(known)) {
+    return report.version > known.version;
   }
-  return news.limited && (!known.limited || news.rate < known.rate);
+  return report.limited && (!known.limited || report.rate < known.rate);
 }
 
 }  // namespace
 
-std::optional<LimitNews> LimitTable::note_answer(const RateAnswer& answer, MonotonicTime now) {
+std::optional<LimitReport> LimitTable::note_answer(const RateAnswer& answer, MonotonicTime now) {
   if (answer.statement.kind == Kind::kUnreadable) {
     return std::nullopt;
   }
@@ -27,55 +27,55 @@
   if (found == known_.end() && !limited) {
     return std::nullopt;
   }
-  LimitNews news{.backend = answer.backend,
-                 .limited = limited,
-                 .rate = limited ? answer.statement.rate : gateway::RequestRate(),
-                 .version = 1};
+  LimitReport report{.backend = answer.backend,
+                     .limited = limited,
+                     .rate = limited ? answer.statement.rate : gateway::RequestRate(),
+                     .version = 1};
   if (found != known_.end()) {
     const Known& known = found->second;
-    if (answer.sent < known.since || known.news.says_same(news)) {
+    if (answer.sent < known.since || known.report.same_limit_as(report)) {
       return std::nullopt;
     }
-    news.version = known.news.version + 1;
+    report.version = known.report.version + 1;
   }
-  known_[answer.backend] = {news, now};
-  return news;
+  known_[answer.backend] = {report, now};
+  return report;
 }
 
-bool LimitTable::take(const LimitNews& news, MonotonicTime now) {
-  if (news.version == 0 || news.version > kMostVersion) {
+bool LimitTable::merge(const LimitReport& report, MonotonicTime now) {
+  if (report.version == 0 || report.version > kMaxVersion) {
     return false;
   }
-  const auto found = known_.find(news.backend);
+  const auto found = known_.find(report.backend);
   if (found == known_.end()) {
-    known_[news.backend] = {news, now};
+    known_[report.backend] = {report, now};
     return true;
   }
   Known& known = found->second;
-  if (!is_newer(news, known.news)) {
+  if (!is_newer(report, known.report)) {
     return false;
   }
-  const bool same = known.news.says_same(news);
-  known.news = news;
+  const bool same = known.report.same_limit_as(report);
+  known.report = report;
   if (!same) {
     known.since = now;
   }
   return !same;
 }
 
-const LimitNews* LimitTable::find(const gateway::BackendId& backend) const {
+const LimitReport* LimitTable::find(const gateway::BackendId& backend) const {
   const auto found = known_.find(backend);
-  return found == known_.end() ? nullptr : &found->second.news;
+  return found == known_.end() ? nullptr : &found->second.report;
 }
 
 std::optional<gateway::RequestRate> LimitTable::limit_of(const gateway::BackendId& backend) const {
-  const LimitNews* news = find(backend);
-  return news != nullptr && news->limited ? std::optional(news->rate) : std::nullopt;
+  const LimitReport* report = find(backend);
+  return report != nullptr && report->limited ? std::optional(report->rate) : std::nullopt;
 }
 
 std::size_t LimitTable::limited_count() const {
   return static_cast<std::size_t>(std::count_if(
-      known_.begin(), known_.end(), [](const auto& entry) { return entry.second.news.limited; }));
+      known_.begin(), known_.end(), [](const auto& entry) { return entry.second.report.limited; }));
 }
 
 }  // namespace ochrespring::rate_limit
--- a/src/rate_limit/limit_table.h
+++ b/src/rate_limit/limit_table.h
@@ -15,14 +15,14 @@
 class LimitTable {
  public:
   /// Versions beyond this are no node's: each is one statement of a back end.
-  static constexpr std::uint64_t kMostVersion = std::uint64_t{1} << 53U;
+  static constexpr std::uint64_t kMaxVersion = std::uint64_t{1} << 53U;
 
   /// Returns what other nodes are to be told, if the answer says something new.
-  std::optional<LimitNews> note_answer(const RateAnswer& answer, MonotonicTime now);
+  std::optional<LimitReport> note_answer(const RateAnswer& answer, MonotonicTime now);
   /// Whether the news changed what is known.
-  bool take(const LimitNews& news, MonotonicTime now);
+  bool merge(const LimitReport& report, MonotonicTime now);
   /// Null: nothing was ever heard.
-  const LimitNews* find(const gateway::BackendId& backend) const;
+  const LimitReport* find(const gateway::BackendId& backend) const;
   /// The limit in force; none: there is none.
   std::optional<gateway::RequestRate> limit_of(const gateway::BackendId& backend) const;
   void forget(const gateway::BackendId& backend) { known_.erase(backend); }
@@ -31,13 +31,13 @@
   template <class Visit>
   void for_each(const Visit& visit) const {
     for (const auto& [backend, known] : known_) {
-      visit(known.news);
+      visit(known.report);
     }
   }
 
  private:
   struct Known {
-    LimitNews news;
+    LimitReport report;
     MonotonicTime since{};  ///< When this node learnt it.
   };
 
--- a/src/rate_limit/permit_bucket.h
+++ b/src/rate_limit/permit_bucket.h
@@ -27,34 +27,34 @@
  public:
   /// `now`: when the bucket begins.
   explicit PermitBucket(gateway::RequestRate limit, MonotonicTime now)
-      : limit_(limit), filled_at_(now) {}
+      : limit_(limit), refilled_at_(now) {}
 
   /// The limit has changed; tokens that are there stay, up to what the bucket then holds.
   void set_limit(gateway::RequestRate limit, MonotonicTime now);
-  PermitDecision ask(const NodeId& node, gateway::SendRank rank, MonotonicTime now);
+  PermitDecision request_permit(const NodeId& node, gateway::SendRank rank, MonotonicTime now);
 
  private:
   /// A back end that takes nothing gets one request in five seconds all the same: its answer tells
   /// whether the limit has ended.
-  static constexpr double kLeastPerSecond = 0.2;
-  static constexpr Duration kHeldSpan{std::chrono::seconds(1)};
+  static constexpr double kMinPermitsPerSecond = 0.2;
+  static constexpr Duration kBurstSpan{std::chrono::seconds(1)};
   /// How long a denied request keeps less urgent ones from the last token.
-  static constexpr Duration kUrgencyHolds{std::chrono::seconds(1)};
+  static constexpr Duration kUrgentReservation{std::chrono::seconds(1)};
   /// A node that waits for its turn asks again after this long at the latest, unless no token can
   /// have come by then: others may have gone elsewhere.
-  static constexpr Duration kMostTurnWait{std::chrono::seconds(1)};
+  static constexpr Duration kMaxTurnWait{std::chrono::seconds(1)};
   /// Sooner than this nothing has changed.
-  static constexpr Duration kLeastWait{std::chrono::milliseconds(10)};
+  static constexpr Duration kMinWait{std::chrono::milliseconds(10)};
 
   double per_second() const;
-  double capacity() const { return 1 + per_second() * to_seconds(kHeldSpan); }
-  void fill(MonotonicTime now);
+  double capacity() const { return 1 + per_second() * to_seconds(kBurstSpan); }
+  void refill(MonotonicTime now);
   double tokens_needed(gateway::SendRank rank, MonotonicTime now) const;
-  Duration wait_of(const NodeId& node, double missing, MonotonicTime now);
+  Duration assign_wait(const NodeId& node, double missing, MonotonicTime now);
 
   gateway::RequestRate limit_;
   double tokens_ = 0;
-  MonotonicTime filled_at_;
+  MonotonicTime refilled_at_;
   std::map<gateway::SendRank, MonotonicTime> denied_at_;  ///< Last denial of each rank.
   std::map<NodeId, MonotonicTime> turns_;                 ///< Of nodes that wait.
 };
--- a/src/rate_limit/rate_limiter.h
+++ b/src/rate_limit/rate_limiter.h
@@ -14,7 +14,7 @@
 #include "gateway/send_gate.h"
 #include "logging/logger.h"
 #include "metrics/metrics.h"
-#include "rate_limit/coordinator_choice.h"
+#include "rate_limit/coordinator_selector.h"
 #include "rate_limit/limit_table.h"
 #include "rate_limit/permit_bucket.h"
 #include "rate_limit/types.h"
@@ -26,7 +26,7 @@
   std::uint64_t permits_denied = 0;      ///< To this node's requests.
   std::uint64_t permits_unanswered = 0;  ///< No coordinator answered in time: taken for denied.
   std::uint64_t permits_issued = 0;      ///< By this node, to all.
-  std::uint64_t limits_heard = 0;        ///< Changes of limits in answers to this node.
+  std::uint64_t limit_changes = 0;       ///< Changes of limits in answers to this node.
   std::uint64_t limits_unreadable = 0;   ///< Answers whose limit could not be read.
 };
 
@@ -40,7 +40,7 @@
 class RateLimiter final {
  public:
   /// References outlive it.
-  struct World {
+  struct Dependencies {
     const Clock& clock;
     TimerService& timers;
     RandomSource& random;
@@ -51,13 +51,13 @@
 
   /// How the limiter's messages get to other nodes; they may be lost, doubled or late.
   struct Channel {
-    std::function<void(const LimitNews&)> tell_all;
-    std::function<void(const Endpoint& to, const LimitNews&)> tell;
-    std::function<void(const Endpoint& to, const PermitRequest&)> ask;
-    std::function<void(const Endpoint& to, const PermitReply&)> reply;
+    std::function<void(const LimitReport&)> broadcast;
+    std::function<void(const Endpoint& to, const LimitReport&)> send;
+    std::function<void(const Endpoint& to, const PermitRequest&)> send_request;
+    std::function<void(const Endpoint& to, const PermitReply&)> send_reply;
   };
 
-  RateLimiter(World world, Channel channel);
+  RateLimiter(Dependencies deps, Channel channel);
 
   /// Whether the back end may have room for a request, as far as this node knows.
   bool has_room(const gateway::BackendId& backend, MonotonicTime now) const {
@@ -79,11 +79,11 @@
                              std::function<void(bool granted)> done);
   void note_answer(const RateAnswer& answer);
 
-  void take(const LimitNews& news);
-  void take(const PermitRequest& request);
-  void take(const PermitReply& reply);
+  void receive(const LimitReport& report);
+  void receive(const PermitRequest& request);
+  void receive(const PermitReply& reply);
   /// Tells a node that has just started all that is known.
-  void tell_all(const std::function<void(const LimitNews&)>& send) const;
+  void send_all(const std::function<void(const LimitReport&)>& send) const;
   /// The back end has gone; its id is not used again.
   void forget(const gateway::BackendId& backend);
 
@@ -99,27 +99,27 @@
     PermitRequest request;
     NodeId coordinator;
     Endpoint coordinator_address;
-    MonotonicTime asked{};
+    MonotonicTime first_sent{};
     std::function<void(bool granted)> done;
     Timer timer;
   };
 
   PermitDecision issue(const gateway::BackendId& backend, const NodeId& node,
                        gateway::SendRank rank, gateway::RequestRate limit);
-  void ask(std::uint64_t sequence);
+  void send_request(std::uint64_t sequence);
   void on_unanswered(std::uint64_t sequence);
-  void settle(std::uint64_t sequence, bool granted);
+  void complete(std::uint64_t sequence, bool granted);
   /// Nothing is sent to the back end for so long.
   void close(const gateway::BackendId& backend, Duration span);
   /// Where the news changes what is known, everything here follows it.
-  void adopt(const LimitNews& news, std::string_view source);
-  void follow(const LimitNews& news, std::string_view source);
-  LimitNews known(const gateway::BackendId& backend) const;
+  void merge_report(const LimitReport& report, std::string_view source);
+  void apply_change(const LimitReport& report, std::string_view source);
+  LimitReport known(const gateway::BackendId& backend) const;
 
-  World world_;
+  Dependencies deps_;
   Channel channel_;
   LimitTable limits_;
-  CoordinatorChoice coordinators_;
+  CoordinatorSelector coordinators_;
   std::map<gateway::BackendId, PermitBucket> buckets_;  ///< Of those that this node coordinates.
   std::map<gateway::BackendId, MonotonicTime> closed_until_;
   std::map<std::uint64_t, Claim> claims_;  ///< By sequence.
--- a/src/rate_limit/tests/coordinator_choice_test.cc
+++ b/src/rate_limit/tests/coordinator_selector_test.cc
@@ -1,5 +1,5 @@
 // Which node all nodes name, and which they pass over.
-#include "rate_limit/coordinator_choice.h"
+#include "rate_limit/coordinator_selector.h"
 
 #include <doctest/doctest.h>
 
@@ -19,68 +19,68 @@
   return {NodeId(name), Endpoint("front"), ZoneName("a"), Endpoint(name), 200, {}};
 }
 
-struct Choice {
-  Choice(simulation::VirtualTime& time, int self, int count)
-      : nodes(time, record_of(self)), choice(nodes) {
+struct SelectorFixture {
+  SelectorFixture(simulation::VirtualTime& time, int self, int count)
+      : nodes(time, record_of(self)), selector(nodes) {
     for (int other = 0; other != count; ++other) {
       if (other != self) {
         nodes.put(record_of(other));
       }
     }
   }
-  std::string choose(const std::string& backend, MonotonicTime now) {
-    const auto* chosen = choice.choose(gateway::BackendId(backend), now);
-    return chosen != nullptr ? chosen->node.value() : nodes.self().node.value();
+  std::string select(const std::string& backend, MonotonicTime now) {
+    const auto* selected = selector.select(gateway::BackendId(backend), now);
+    return selected != nullptr ? selected->node.value() : nodes.self().node.value();
   }
 
   discovery::NodeDirectory nodes;
-  CoordinatorChoice choice;
+  CoordinatorSelector selector;
 };
 
 }  // namespace
 
 TEST_CASE("all nodes name the same coordinator, and back ends spread over nodes") {
   simulation::VirtualTime time;
-  Choice first(time, 0, 20);
-  Choice second(time, 7, 20);
-  std::set<std::string> chosen;
+  SelectorFixture first(time, 0, 20);
+  SelectorFixture second(time, 7, 20);
+  std::set<std::string> selected;
   for (int i = 0; i != 50; ++i) {
     const std::string backend = "s" + std::to_string(i);
-    CHECK(first.choose(backend, time.now()) == second.choose(backend, time.now()));
-    chosen.insert(first.choose(backend, time.now()));
+    CHECK(first.select(backend, time.now()) == second.select(backend, time.now()));
+    selected.insert(first.select(backend, time.now()));
   }
-  CHECK(chosen.size() > 10);
+  CHECK(selected.size() > 10);
 }
 
 TEST_CASE("a node that leaves coordinates no more, for itself neither") {
   simulation::VirtualTime time;
-  Choice fleet(time, 0, 6);
+  SelectorFixture fleet(time, 0, 6);
   fleet.nodes.leave();
   for (int i = 0; i != 50; ++i) {
-    CHECK(fleet.choose("s" + std::to_string(i), time.now()) != "n0");
+    CHECK(fleet.select("s" + std::to_string(i), time.now()) != "n0");
   }
 }
 
 TEST_CASE("a silent coordinator is passed over, each time for longer, until it answers") {
   simulation::VirtualTime time;
-  Choice fleet(time, 0, 2);
+  SelectorFixture fleet(time, 0, 2);
   std::string backend = "s";
-  while (fleet.choose(backend, time.now()) != "n1") {
+  while (fleet.select(backend, time.now()) != "n1") {
     backend += "s";
   }
   const NodeId silent("n1");
-  const auto unanswered = [&] { fleet.choice.note_unanswered(silent, time.now()); };
+  const auto unanswered = [&] { fleet.selector.note_unanswered(silent, time.now()); };
   unanswered();
-  CHECK(fleet.choose(backend, time.now()) == "n1");  // One lost datagram says nothing.
+  CHECK(fleet.select(backend, time.now()) == "n1");  // One lost datagram says nothing.
   time.run_until(time.now() + 400ms);
   unanswered();
-  CHECK(fleet.choose(backend, time.now()) == "n0");
+  CHECK(fleet.select(backend, time.now()) == "n0");
   time.run_until(time.now() + 3100ms);
-  CHECK(fleet.choose(backend, time.now()) == "n1");
+  CHECK(fleet.select(backend, time.now()) == "n1");
   unanswered();
   time.run_until(time.now() + 5s);
-  CHECK(fleet.choose(backend, time.now()) == "n0");
+  CHECK(fleet.select(backend, time.now()) == "n0");
   time.run_until(time.now() + 2s);
-  fleet.choice.note_answered(silent);
-  CHECK(fleet.choose(backend, time.now()) == "n1");
+  fleet.selector.note_answered(silent);
+  CHECK(fleet.select(backend, time.now()) == "n1");
 }
--- a/src/rate_limit/tests/permit_bucket_test.cc
+++ b/src/rate_limit/tests/permit_bucket_test.cc
@@ -26,33 +26,33 @@
 
 TEST_CASE("a bucket begins empty, and a denied node is told when there is a token") {
   PermitBucket bucket({2000}, at(0s));
-  const PermitDecision denied = bucket.ask(kNode, 1, at(0s));
+  const PermitDecision denied = bucket.request_permit(kNode, 1, at(0s));
   CHECK_FALSE(denied.granted);
   CHECK(denied.wait == 500ms);
-  CHECK(bucket.ask(kNode, 1, at(500ms)).granted);
-  CHECK_FALSE(bucket.ask(kNode, 1, at(510ms)).granted);
+  CHECK(bucket.request_permit(kNode, 1, at(500ms)).granted);
+  CHECK_FALSE(bucket.request_permit(kNode, 1, at(510ms)).granted);
 }
 
 TEST_CASE("nodes that wait get turns one behind the other") {
   PermitBucket bucket({4000}, at(0s));
-  CHECK(bucket.ask(kNode, 1, at(0s)).wait == 250ms);
-  CHECK(bucket.ask(kOther, 1, at(0s)).wait == 500ms);
-  CHECK(bucket.ask(kNode, 1, at(0s)).wait == 250ms);
+  CHECK(bucket.request_permit(kNode, 1, at(0s)).wait == 250ms);
+  CHECK(bucket.request_permit(kOther, 1, at(0s)).wait == 500ms);
+  CHECK(bucket.request_permit(kNode, 1, at(0s)).wait == 250ms);
 }
 
 TEST_CASE("the last token is kept for a more urgent request that was denied of late") {
   PermitBucket bucket({2000}, at(0s));
-  CHECK_FALSE(bucket.ask(kOther, gateway::kBegunStreamRank, at(400ms)).granted);
-  CHECK_FALSE(bucket.ask(kNode, 3, at(600ms)).granted);
-  CHECK(bucket.ask(kOther, gateway::kBegunStreamRank, at(700ms)).granted);
-  CHECK(bucket.ask(kNode, 3, at(1100ms)).granted);
+  CHECK_FALSE(bucket.request_permit(kOther, gateway::kBegunStreamRank, at(400ms)).granted);
+  CHECK_FALSE(bucket.request_permit(kNode, 3, at(600ms)).granted);
+  CHECK(bucket.request_permit(kOther, gateway::kBegunStreamRank, at(700ms)).granted);
+  CHECK(bucket.request_permit(kNode, 3, at(1100ms)).granted);
 }
 
 TEST_CASE("a limit of nothing gives one permit in five seconds") {
   PermitBucket bucket({0}, at(0s));
   int granted = 0;
   for (Duration now{}; now < 50s; now += 100ms) {
-    granted += bucket.ask(kNode, 1, at(now)).granted ? 1 : 0;
+    granted += bucket.request_permit(kNode, 1, at(now)).granted ? 1 : 0;
   }
   CHECK(granted >= 8);
   CHECK(granted <= 10);
@@ -60,10 +60,10 @@
 
 TEST_CASE("a clock that stands still or goes back fills nothing twice") {
   PermitBucket bucket({1000}, at(10s));
-  CHECK_FALSE(bucket.ask(kNode, 1, at(5s)).granted);
-  CHECK(bucket.ask(kNode, 1, at(11s)).granted);
-  CHECK_FALSE(bucket.ask(kNode, 1, at(9s)).granted);
-  CHECK_FALSE(bucket.ask(kNode, 1, at(11s)).granted);
+  CHECK_FALSE(bucket.request_permit(kNode, 1, at(5s)).granted);
+  CHECK(bucket.request_permit(kNode, 1, at(11s)).granted);
+  CHECK_FALSE(bucket.request_permit(kNode, 1, at(9s)).granted);
+  CHECK_FALSE(bucket.request_permit(kNode, 1, at(11s)).granted);
 }
 
 TEST_CASE("no window holds more than the limit allows and one second of it more, while it moves") {
@@ -78,7 +78,7 @@
       highest = std::max<std::uint64_t>(highest, limit);
       for (int i = 0; i != 20; ++i) {
         now += from_seconds(random.exponential(0.05));
-        if (bucket.ask(random.chance(0.5) ? kNode : kOther, 1, now).granted) {
+        if (bucket.request_permit(random.chance(0.5) ? kNode : kOther, 1, now).granted) {
           grants.push_back(now);
         }
       }
--- a/src/rate_limit/tests/sharing_comparison_test.cc
+++ b/src/rate_limit/tests/sharing_comparison_test.cc
@@ -19,7 +19,7 @@
 
 namespace {
 
-constexpr std::size_t kServers = 3;
+constexpr std::size_t kBackends = 3;
 /// From one node to another, and by way of relays.
 constexpr Duration kOneWay = 3ms;
 constexpr Duration kByRelays = 20ms;
@@ -36,7 +36,7 @@
 class Sharing {
  public:
   virtual ~Sharing() = default;
-  virtual bool send(std::size_t node, std::size_t server, MonotonicTime now) = 0;
+  virtual bool send(std::size_t node, std::size_t backend, MonotonicTime now) = 0;
   std::uint64_t messages = 0;
 };
 
@@ -45,16 +45,16 @@
  public:
   explicit Permits(const Load& load) {
     const auto rate = static_cast<std::uint64_t>(load.limit * 1000);
-    buckets_.assign(kServers, PermitBucket({rate}, MonotonicTime()));
+    buckets_.assign(kBackends, PermitBucket({rate}, MonotonicTime()));
   }
-  bool send(std::size_t node, std::size_t server, MonotonicTime now) override {
-    MonotonicTime& closed = closed_[{node, server}];
+  bool send(std::size_t node, std::size_t backend, MonotonicTime now) override {
+    MonotonicTime& closed = closed_[{node, backend}];
     if (now < closed) {
       return false;
     }
     messages += 2;
     const PermitDecision decision =
-        buckets_[server].ask(NodeId("n" + std::to_string(node)), 1, now + kOneWay);
+        buckets_[backend].request_permit(NodeId("n" + std::to_string(node)), 1, now + kOneWay);
     closed = decision.granted ? closed : now + 2 * kOneWay + decision.wait;
     return decision.granted;
   }
@@ -71,22 +71,22 @@
     const std::size_t senders =
         std::clamp<std::size_t>(static_cast<std::size_t>(load.limit), 1, load.nodes);
     const double share = load.limit / static_cast<double>(senders);
-    for (std::size_t server = 0; server != kServers; ++server) {
+    for (std::size_t backend = 0; backend != kBackends; ++backend) {
       std::vector<std::pair<std::uint64_t, std::size_t>> ranked;
       for (std::size_t node = 0; node != load.nodes; ++node) {
         ranked.emplace_back(
-            rendezvous_weight("s" + std::to_string(server), "n" + std::to_string(node)), node);
+            rendezvous_weight("s" + std::to_string(backend), "n" + std::to_string(node)), node);
       }
       std::sort(ranked.rbegin(), ranked.rend());
       for (std::size_t i = 0; i != senders; ++i) {
-        buckets_.emplace(std::pair(ranked[i].second, server),
+        buckets_.emplace(std::pair(ranked[i].second, backend),
                          PermitBucket({static_cast<std::uint64_t>(share * 1000)}, MonotonicTime()));
       }
     }
   }
-  bool send(std::size_t node, std::size_t server, MonotonicTime now) override {
-    const auto bucket = buckets_.find({node, server});
-    return bucket != buckets_.end() && bucket->second.ask(NodeId("n"), 1, now).granted;
+  bool send(std::size_t node, std::size_t backend, MonotonicTime now) override {
+    const auto bucket = buckets_.find({node, backend});
+    return bucket != buckets_.end() && bucket->second.request_permit(NodeId("n"), 1, now).granted;
   }
 
  private:
@@ -94,13 +94,13 @@
 };
 
 /// Each node counts what all have told of the last seconds.
-class ToldSends final : public Sharing {
+class BroadcastSends final : public Sharing {
  public:
-  explicit ToldSends(const Load& load)
-      : load_(load), lag_(load.nodes < 48 ? kOneWay : kByRelays), sends_(kServers) {}
-  bool send(std::size_t node, std::size_t server, MonotonicTime now) override {
+  explicit BroadcastSends(const Load& load)
+      : load_(load), lag_(load.nodes < 48 ? kOneWay : kByRelays), sends_(kBackends) {}
+  bool send(std::size_t node, std::size_t backend, MonotonicTime now) override {
     constexpr Duration kWindow = 4s;
-    std::deque<Send>& sends = sends_[server];
+    std::deque<Send>& sends = sends_[backend];
     while (!sends.empty() && now - sends.front().at > kWindow) {
       sends.pop_front();
     }
@@ -127,23 +127,23 @@
 };
 
 struct Outcome {
-  std::size_t worst = 0;  ///< In 4 s, at any server.
-  double use = 0;         ///< Of the limits.
-  double messages = 0;    ///< A second and node.
+  std::size_t max_sends = 0;  ///< In 4 s, at any server.
+  double use = 0;             ///< Of the limits.
+  double messages = 0;        ///< A second and node.
 };
 
-Outcome play(const Load& load, Sharing& sharing) {
+Outcome simulate(const Load& load, Sharing& sharing) {
   SeededRandom random(11);
-  std::vector<std::vector<MonotonicTime>> sent(kServers);
+  std::vector<std::vector<MonotonicTime>> sent(kBackends);
   const MonotonicTime end = MonotonicTime() + load.span;
   MonotonicTime now = MonotonicTime() + from_seconds(random.exponential(1 / load.per_second));
   while (now < end) {
     const std::size_t node = random.chance(load.skew) ? 0 : random.below(load.nodes);
-    const std::size_t first = random.below(kServers);
-    for (std::size_t i = 0; i != kServers; ++i) {
-      const std::size_t server = (first + i) % kServers;
-      if (sharing.send(node, server, now)) {
-        sent[server].push_back(now);
+    const std::size_t first = random.below(kBackends);
+    for (std::size_t i = 0; i != kBackends; ++i) {
+      const std::size_t backend = (first + i) % kBackends;
+      if (sharing.send(node, backend, now)) {
+        sent[backend].push_back(now);
         break;
       }
     }
@@ -156,20 +156,20 @@
       while (times[newest] - times[oldest] > 4s) {
         ++oldest;
       }
-      outcome.worst = std::max(outcome.worst, newest - oldest + 1);
+      outcome.max_sends = std::max(outcome.max_sends, newest - oldest + 1);
     }
     outcome.use += static_cast<double>(times.size()) /
-                   (load.limit * to_seconds(load.span) * static_cast<double>(kServers));
+                   (load.limit * to_seconds(load.span) * static_cast<double>(kBackends));
   }
   outcome.messages = static_cast<double>(sharing.messages) /
                      (to_seconds(load.span) * static_cast<double>(load.nodes));
   return outcome;
 }
 
-template <class Way>
-Outcome play(const Load& load) {
-  Way way(load);
-  return play(load, way);
+template <class Method>
+Outcome simulate(const Load& load) {
+  Method method(load);
+  return simulate(load, method);
 }
 
 }  // namespace
@@ -180,18 +180,18 @@
       for (const double skew : {0.0, 0.9}) {
         const Load load{.nodes = nodes,
                         .limit = limit,
-                        .per_second = 3 * limit * static_cast<double>(kServers),
+                        .per_second = 3 * limit * static_cast<double>(kBackends),
                         .skew = skew};
-        const Outcome permits = play<Permits>(load);
-        const Outcome few = play<FewSenders>(load);
-        const Outcome told = play<ToldSends>(load);
+        const Outcome permits = simulate<Permits>(load);
+        const Outcome few_senders = simulate<FewSenders>(load);
+        const Outcome broadcast = simulate<BroadcastSends>(load);
         MESSAGE("nodes " << nodes << ", limit " << limit << ", skew " << skew
                          << ": worst 4 s, use, messages a node and second: permits "
-                         << permits.worst << ", " << permits.use << ", " << permits.messages
-                         << "; few senders " << few.worst << ", " << few.use << ", " << few.messages
-                         << "; told sends " << told.worst << ", " << told.use << ", "
-                         << told.messages);
-        CHECK(static_cast<double>(permits.worst) <= 6 * limit + 5);
+                         << permits.max_sends << ", " << permits.use << ", " << permits.messages
+                         << "; few senders " << few_senders.max_sends << ", " << few_senders.use
+                         << ", " << few_senders.messages << "; told sends " << broadcast.max_sends
+                         << ", " << broadcast.use << ", " << broadcast.messages);
+        CHECK(static_cast<double>(permits.max_sends) <= 6 * limit + 5);
         CHECK(permits.use >= 0.8);
       }
     }
--- a/src/rate_limit/types.h
+++ b/src/rate_limit/types.h
@@ -19,14 +19,14 @@
 
 /// What is known of one life of a back end: a limit, or that one has ended. Of two the one of the
 /// higher version is the newer, whoever tells it and in whatever order they come.
-struct LimitNews {
+struct LimitReport {
   gateway::BackendId backend;
   bool limited = false;
   gateway::RequestRate rate;  ///< Where there is a limit.
   std::uint64_t version = 0;  ///< Raised by each node that hears something else from the back end.
 
   /// What the back end says, whoever heard it.
-  bool says_same(const LimitNews& other) const {
+  bool same_limit_as(const LimitReport& other) const {
     return limited == other.limited && (!limited || rate == other.rate);
   }
 
@@ -45,7 +45,7 @@
   Endpoint reply_to;
   std::uint64_t sequence = 0;  ///< Names the request; not used again by any life of the node.
   gateway::SendRank rank = 0;
-  LimitNews known;
+  LimitReport known;
 
   template <class Archive>
   void serialize(Archive& archive, unsigned /*version*/) {
@@ -62,7 +62,7 @@
   std::uint64_t sequence = 0;
   bool granted = false;
   Duration wait{};  ///< If not: when to ask again.
-  LimitNews known;
+  LimitReport known;
 
   template <class Archive>
   void serialize(Archive& archive, unsigned /*version*/) {
