--- a/src/engine_profiles/engine_profile_table.cc
+++ b/src/engine_profiles/engine_profile_table.cc
@@ -12,49 +12,53 @@
 namespace {
 
 constexpr std::string_view kComponent = "engine_profiles";
-/// Between two renewals of the medians, for each engine known: walking over 10,000 engines takes
+/// Period between two updates of the medians, per known engine: iterating over 10,000 engines takes
 /// 5 ms.
 constexpr Duration kMedianUpdatePeriodPerEngine = std::chrono::microseconds(500);
 constexpr Duration kMinMedianUpdatePeriod = std::chrono::milliseconds(100);
 constexpr Duration kLogPeriod = std::chrono::seconds(60);
-/// Samples for which the median of the service counts: an engine that few samples are known of is
-/// taken to be like the others.
+/// Weight of the service's median, in samples: an engine with few samples is assumed to be like the
+/// others.
 constexpr double kPriorWeight = 2;
-/// Of an engine's samples so many do not count: both of two samples can be of a slowdown, which no
-/// quantile can tell, and engines that are alike differed by 28%.
+/// Number of an engine's samples that are not counted. Both of two samples can be taken during a
+/// slowdown, which no quantile can detect; identical engines then differed by 28%.
 constexpr double kDiscountedSamples = 2;
-/// An engine with fewer samples left does not count in the median of its service.
+/// An engine whose samples have a lower total weight does not count in the median of its service.
 constexpr double kMinMedianWeight = 0.5;
-/// Values this many times above or below the median of the service are rejected...
+/// Values are rejected if they are this many times above or below the median of the service...
 constexpr double kMaxMedianRatio = 100;
-/// ...once the median rests on so many engines: a false first value would keep out all true ones.
+/// ...provided that the median is based on at least this many engines. Otherwise a wrong first
+/// value would cause all correct ones to be rejected.
 constexpr std::size_t kMinEnginesForRatioCheck = 3;
-/// Nanoseconds per token that no engine has, by quantity: one token in 10 us or 10 s, one prompt
-/// token in 1 ns or 1 s.
+/// Bounds of plausible values in nanoseconds per token, indexed by Quantity: 10 us to 10 s per
+/// output token, 1 ns to 1 s per prompt token.
 constexpr std::array<double, kQuantityCount> kMinNanosecondsPerToken{1e4, 1};
 constexpr std::array<double, kQuantityCount> kMaxNanosecondsPerToken{1e10, 1e9};
-/// Samples and streams of one engine that another node is believed to have at most.
+/// Upper bounds on the samples and streams of one engine that are accepted from another node.
 constexpr std::uint32_t kMaxReportedSamples = 32;
 constexpr std::uint32_t kMaxReportedStreams = 10'000;
-/// Shorter prompts are mostly waiting and network.
+/// For shorter prompts, most of the time is waiting and network latency.
 constexpr std::uint64_t kMinPrefillTokens = 1'000;
-/// Observations with more than this part of the prompt's own tokens ahead are skipped: how much of
-/// those had been prefilled already is not known, and the quotient would be too small.
+/// Observations with more tokens of other prompts ahead, as a share of the prompt's own tokens, are
+/// skipped: part of those may already have been prefilled, and the time per token would be
+/// underestimated.
 constexpr double kMaxShareAhead = 0.125;
 /// An engine that also decodes prefills at half the rate.
 constexpr double kDecodeEngineSlowdown = 2;
-/// Where decoding the first event takes a greater part of the time, the rest is too uncertain.
+/// Observations are skipped if decoding the first event takes a greater share of the time, since
+/// the remaining prefill time is too uncertain.
 constexpr double kMaxDecodeShare = 0.5;
 constexpr double kPercent = 100;
 
 constexpr metrics::CounterRow<ProfileStatistics> kCounters[] = {
-    {"engine_profile_output_samples", "Samples of the time per output token of engines",
+    {"engine_profile_output_samples", "Samples of the time per output token",
      &ProfileStatistics::output_samples},
-    {"engine_profile_prompt_samples", "Samples of the prefill time per token of engines",
+    {"engine_profile_prompt_samples", "Samples of the prefill time per prompt token",
      &ProfileStatistics::prompt_samples},
-    {"engine_profile_observations_skipped", "Observations that say nothing of undisturbed work",
+    {"engine_profile_observations_skipped",
+     "Observations skipped because they do not show the undisturbed speed",
      &ProfileStatistics::skipped},
-    {"engine_profile_values_rejected", "Values of engines' speed that cannot be true",
+    {"engine_profile_values_rejected", "Implausible engine speed values",
      &ProfileStatistics::rejected},
 };
 
@@ -186,7 +190,7 @@
   }
 }
 
-/// An engine that was forgotten while a stream ran there stays forgotten.
+/// Does not add an engine that was removed while one of its streams was running.
 void EngineProfileTable::end_long_stream(const gateway::BackendId& engine, MonotonicTime /*now*/) {
   const auto known = engines_.find(engine);
   if (known != engines_.end()) {
@@ -223,7 +227,7 @@
   return estimate;
 }
 
-/// Value of the engine, the nearer to the median the less is known.
+/// Returns the engine's value, weighted towards the median of the service if few samples exist.
 Duration EngineProfileTable::blend(const Engine& engine, Quantity quantity,
                                    const SpeedSummary& summary, MonotonicTime now) const {
   const Estimate own = measured(engine, quantity, now);
@@ -235,7 +239,7 @@
 
 bool EngineProfileTable::is_plausible(double value, const ServiceName& service,
                                       Quantity quantity) const {
-  // No number is neither above nor below.
+  // Written so that NaN, which compares false with everything, is rejected.
   const std::size_t i = index_of(quantity);
   if (!(value >= kMinNanosecondsPerToken[i] && value <= kMaxNanosecondsPerToken[i])) {
     return false;
@@ -364,7 +368,7 @@
   return std::max(kMinMedianUpdatePeriod, kMedianUpdatePeriodPerEngine * engines);
 }
 
-/// Services of which no engine has been measured lately keep what they had.
+/// Services without recently measured engines keep their previous medians.
 void EngineProfileTable::update_medians(MonotonicTime now) {
   using Measurements = std::vector<std::pair<double, const gateway::BackendId*>>;
   std::map<ServiceName, std::array<Measurements, kQuantityCount>> values;
@@ -410,7 +414,7 @@
     }
     logger_.write({logging::Level::kInfo,
                    kComponent,
-                   "engine speeds",
+                   "engine speeds of the service",
                    {{"service", name.value()},
                     {"engines_measured", static_cast<std::uint64_t>(output.engines)},
                     {"output_token_median_us", output.median * 1e-3},
@@ -423,18 +427,22 @@
 
 void EngineProfileTable::add_metrics(metrics::SampleSink& sink) const {
   metrics::add_counters(kCounters, statistics_, sink);
-  sink.gauge({"engine_profiles", "Engines that something is known of"},
+  sink.gauge({"engine_profiles", "Engines with a stored profile"},
              static_cast<double>(engines_.size()));
   for (const auto& [name, service] : services_) {
     const std::vector<metrics::Label> labels{{"service", name.value()}};
     const SpeedSummary& output = service.summaries[0];
-    sink.gauge({"engine_output_token_median_seconds", "Median time per output token of engines"},
+    sink.gauge({"engine_output_token_median_seconds",
+                "Median time per output token of the engines of a service"},
                output.median * 1e-9, labels);
-    sink.gauge({"engine_output_token_fastest_seconds", "Least time per output token of an engine"},
-               output.fastest * 1e-9, labels);
-    sink.gauge({"engine_output_token_slowest_seconds", "Most time per output token of an engine"},
-               output.slowest * 1e-9, labels);
-    sink.gauge({"engine_prompt_token_median_seconds", "Median prefill time per token of engines"},
+    sink.gauge(
+        {"engine_output_token_fastest_seconds", "Time per output token of the fastest engine"},
+        output.fastest * 1e-9, labels);
+    sink.gauge(
+        {"engine_output_token_slowest_seconds", "Time per output token of the slowest engine"},
+        output.slowest * 1e-9, labels);
+    sink.gauge({"engine_prompt_token_median_seconds",
+                "Median prefill time per prompt token of the engines of a service"},
                service.summaries[1].median * 1e-9, labels);
   }
 }
--- a/src/engine_profiles/engine_profile_table.h
+++ b/src/engine_profiles/engine_profile_table.h
@@ -1,4 +1,4 @@
-// What this node has learned of the speed of engines.
+// Speed profiles of engines, from this node's measurements and other nodes' reports.
 #pragma once
 
 #include <array>
@@ -24,25 +24,25 @@
 
 namespace ochrespring::engine_profiles {
 
-/// What is measured of an engine.
+/// The measured quantities of an engine.
 enum class Quantity : std::uint8_t { kOutputToken, kPromptToken };
 inline constexpr std::size_t kQuantityCount = 2;
 
 struct ProfileStatistics {
   std::uint64_t output_samples = 0;  ///< Of the time per output token.
-  std::uint64_t prompt_samples = 0;  ///< Of the prefill time per token.
-  std::uint64_t skipped = 0;         ///< Observations that say nothing of undisturbed work.
-  std::uint64_t rejected = 0;        ///< Values that cannot be true.
+  std::uint64_t prompt_samples = 0;  ///< Of the prefill time per prompt token.
+  std::uint64_t skipped = 0;         ///< Observations that do not show the undisturbed speed.
+  std::uint64_t rejected = 0;        ///< Implausible values.
 };
 
-/// Learns from observations of this node's own requests and from what other nodes tell. Answers a
-/// lookup in constant time: the medians of services are renewed while observations come in, so that
-/// it takes a small, constant share of time.
+/// Estimates the speed of engines from observations of this node's requests and from reports of
+/// other nodes. A lookup takes constant time: the medians of services are updated as observations
+/// arrive, at a rate that keeps the cost a small, constant share of the time.
 ///
-/// Pure but for the log; one loop.
+/// No side effects except logging; must be used from one event loop.
 class EngineProfileTable final : public gateway::EngineProfiles, public gateway::EngineObserver {
  public:
-  /// Both outlive the table.
+  /// Both arguments must outlive the table.
   EngineProfileTable(const gateway::FleetState& fleet, logging::Logger& logger)
       : fleet_(fleet), logger_(logger) {}
 
@@ -62,21 +62,23 @@
   void begin_long_stream(const gateway::BackendId& engine, MonotonicTime now) override;
   void end_long_stream(const gateway::BackendId& engine, MonotonicTime now) override;
 
-  /// Called when this node has something new to tell of an engine.
+  /// Sets the function that is called when there is new information on an engine to report to other
+  /// nodes.
   void on_change(std::function<void(const gateway::BackendId&)> callback) {
     on_change_ = std::move(callback);
   }
-  /// What this node itself has measured since note_told(), and its long streams.
+  /// Returns what this node has measured since the last call of mark_reported(), and its number of
+  /// long streams.
   EngineProfileReport own_report(const gateway::BackendId& engine) const;
-  /// The engine's news has been told.
+  /// Marks the measurements of the engine as reported to other nodes.
   void mark_reported(const gateway::BackendId& engine);
-  /// Another node's news; values that cannot be true are ignored.
+  /// Merges another node's report; implausible values are ignored.
   void receive(const EngineProfileReport& report, NodeIndex node, MonotonicTime now);
-  /// Calls `visit` with all that is known of each engine, by whomever it was measured, until it
-  /// returns false.
+  /// Calls `visit` with everything known about each engine, measured by any node, until it returns
+  /// false.
   void for_each_known(MonotonicTime now,
                       const std::function<bool(EngineProfileReport)>& visit) const;
-  /// The engine has ended.
+  /// Removes an engine that has terminated.
   void forget(const gateway::BackendId& engine) { engines_.erase(engine); }
 
   const ProfileStatistics& statistics() const { return statistics_; }
@@ -89,12 +91,13 @@
     std::array<Estimate, kQuantityCount> reported;  ///< By other nodes.
     PaceHistory paces;
     std::array<std::uint8_t, kQuantityCount>
-        unreported{};  ///< Own samples that no node was told of.
+        unreported{};  ///< Number of own samples not yet reported to other nodes.
     LongStreams long_streams;
   };
-  /// Of the engines that have been measured, each with its own value.
+  /// Distribution of one quantity over the measured engines of a service; each engine counts once,
+  /// with its own value.
   struct SpeedSummary {
-    double median = 0;  ///< Nanoseconds per token; 0: none has been measured.
+    double median = 0;  ///< Nanoseconds per token; 0: no engine was measured.
     double median_logarithm = 0;
     double fastest = 0;
     double slowest = 0;
@@ -107,11 +110,11 @@
     gateway::EngineProfile usual;  ///< The medians.
   };
 
-  /// Null: not registered, or no engine.
+  /// Returns null if the back end is not registered or not an engine.
   const gateway::Backend* find_engine(const gateway::BackendId& id) const;
   const gateway::EngineShape* find_shape(const ServiceName& service) const;
   const Service* find_service(const ServiceName& service) const;
-  /// What is known of the engine itself; a weight of 0: nothing.
+  /// Returns the combined estimate for the engine itself; its weight is 0 if there is none.
   Estimate measured(const Engine& engine, Quantity quantity, MonotonicTime now) const;
   Duration blend(const Engine& engine, Quantity quantity, const SpeedSummary& summary,
                  MonotonicTime now) const;
@@ -121,7 +124,7 @@
   void merge_reported(const gateway::Backend& engine, Quantity quantity,
                       const ReportedSpeed& reported, MonotonicTime now);
   void notify_change(const gateway::BackendId& engine) const;
-  /// Renews the medians if that is due, or nothing was known of the service.
+  /// Updates the medians if an update is due or the service had no measurement yet.
   void update_medians_if_due(const ServiceName& service, Quantity quantity, MonotonicTime now);
   Duration median_update_period() const;
   void update_medians(MonotonicTime now);
--- a/src/engine_profiles/estimate.h
+++ b/src/engine_profiles/estimate.h
@@ -1,4 +1,4 @@
-// A quantity as several nodes have measured it.
+// An estimate of a quantity that several nodes have measured.
 #pragma once
 
 #include <algorithm>
@@ -9,12 +9,12 @@
 
 namespace ochrespring::engine_profiles {
 
-/// Weighted mean of logarithms; the weights fade. Pure.
+/// A weighted mean of logarithms whose weight decays over time. No side effects.
 class Estimate {
  public:
-  /// `logarithm`: natural, of a value in nanoseconds. `weight`: samples that it rests on. A value
-  /// that is told twice counts twice, but the weight is bounded and the value is the same: little
-  /// harm is done.
+  /// Merges a value. `logarithm` is the natural logarithm of a value in nanoseconds, `weight` the
+  /// number of samples behind it. A value that is received twice counts twice; this does little
+  /// harm, since the weight is bounded and the value is the same.
   void merge(double logarithm, double weight, MonotonicTime now) {
     const double before = weight_at(now);
     const double sum = before + weight;
@@ -27,7 +27,7 @@
   double weight_at(MonotonicTime now) const {
     return weight_ == 0 ? 0 : weight_ * weight_at_age(now - updated_at_);
   }
-  /// Natural, of the value in nanoseconds.
+  /// The natural logarithm of the value in nanoseconds.
   double logarithm() const { return logarithm_; }
   double value() const { return std::exp(logarithm_); }
 
@@ -35,7 +35,7 @@
   static constexpr double kMaxWeight = 32;
 
   float logarithm_ = 0;
-  float weight_ = 0;  ///< At `weighed_at_`.
+  float weight_ = 0;  ///< At `updated_at_`.
   MonotonicTime updated_at_{};
 };
 
--- a/src/engine_profiles/half_life.h
+++ b/src/engine_profiles/half_life.h
@@ -1,4 +1,4 @@
-// How samples lose weight with their age.
+// Exponential decay of the weight of samples.
 #pragma once
 
 #include <chrono>
@@ -10,7 +10,7 @@
 
 inline constexpr Duration kSampleHalfLife = std::chrono::seconds(10);
 
-/// Part of a sample's weight that is left at this age, 0 to 1.
+/// Returns the remaining weight of a sample of the given age, from 0 to 1.
 inline double weight_at_age(Duration age) {
   return std::exp2(-to_seconds(age) / to_seconds(kSampleHalfLife));
 }
--- a/src/engine_profiles/long_streams.h
+++ b/src/engine_profiles/long_streams.h
@@ -1,4 +1,4 @@
-// Long streams at one engine: this node's own, and those that other nodes tell of.
+// Long streams at one engine: this node's own and those that other nodes report.
 #pragma once
 
 #include <algorithm>
@@ -10,13 +10,13 @@
 
 namespace ochrespring::engine_profiles {
 
-/// Number that this node has given to another one.
+/// A number that this node assigns to another node.
 using NodeIndex = std::uint32_t;
 
-/// Pure.
+/// Counts long streams per node. No side effects.
 class LongStreams {
  public:
-  /// What a node has told is believed for so long: two repetitions may be lost.
+  /// How long another node's report stays valid; two repeated reports may be lost meanwhile.
   static constexpr Duration kReportLifetime = std::chrono::seconds(5);
 
   void begin() { ++own_; }
--- a/src/engine_profiles/pace_history.h
+++ b/src/engine_profiles/pace_history.h
@@ -1,4 +1,4 @@
-// Paces that one engine has reported, and what its samples are to be divided by.
+// Paces that one engine has reported, by which its samples are normalized.
 #pragma once
 
 #include <array>
@@ -9,22 +9,24 @@
 
 namespace ochrespring::engine_profiles {
 
-/// A pace is believed for the length of a typical slowdown after its report. The usual pace tells
-/// an engine that is always slow from one that has been slowed down for a moment. Pure.
+/// A reported pace is assumed to hold for the length of a typical slowdown. The baseline
+/// distinguishes an engine that is always slow from one that is temporarily slowed down. No side
+/// effects.
 class PaceHistory {
  public:
   void add(double pace, MonotonicTime now);
-  /// Pace during work that has just ended; none: it was not as usual, and when that began or ended
-  /// is not known, so that a sample divided by it might be far too small.
+  /// Returns the pace during work that has just ended. Returns none if a recently reported pace
+  /// differs from the baseline: the start or end of that slowdown is unknown, and a sample divided
+  /// by that pace might be far too small.
   std::optional<double> pace_during_sample(MonotonicTime now) const;
 
  private:
-  /// Reports closer together than this may be of the same slowdown.
+  /// Reports closer together than this may belong to the same slowdown.
   static constexpr Duration kMinSpacing = std::chrono::seconds(1);
   static constexpr Duration kPaceLifetime = std::chrono::milliseconds(600);
   static constexpr std::uint8_t kMaxSpacedReports = 4;
-  /// With fewer spaced reports the usual pace is 1. With slowdowns in 15% of the time, three
-  /// reports are all of slowdowns once in 300 times.
+  /// With fewer spaced reports the baseline is 1. With slowdowns in 15% of the time, all of three
+  /// reports fall into slowdowns once in 300 times.
   static constexpr std::uint8_t kMinSpacedReports = 3;
   static constexpr double kTolerance = 1.25;
 
--- a/src/engine_profiles/profile_exchange.cc
+++ b/src/engine_profiles/profile_exchange.cc
@@ -9,17 +9,17 @@
 
 namespace {
 
-/// The kind of a message and the length of its lists, encoded.
+/// Encoded size of the kind of a message and the length of its lists.
 constexpr std::size_t kEnvelopeBytes = 8;
 
 constexpr metrics::CounterRow<ProfileExchangeStatistics> kCounters[] = {
-    {"engine_profile_news_told", "Datagrams on engines' speed for other nodes",
+    {"engine_profile_news_told", "Engine profile reports sent to other nodes",
      &ProfileExchangeStatistics::reports_sent},
-    {"engine_profile_news_taken", "News of other nodes on engines' speed",
+    {"engine_profile_news_taken", "Engine profile reports received from other nodes",
      &ProfileExchangeStatistics::reports_received},
-    {"engine_profile_news_repeated", "Of these, known already",
+    {"engine_profile_news_repeated", "Engine profile reports received again or out of order",
      &ProfileExchangeStatistics::duplicates},
-    {"engine_profile_changes_dropped", "Changes that were too many to be told to other nodes",
+    {"engine_profile_changes_dropped", "Engine changes not reported because too many were pending",
      &ProfileExchangeStatistics::changes_dropped},
 };
 
@@ -35,7 +35,8 @@
   deps_.table.on_change([this](const gateway::BackendId& engine) { note_change(engine); });
 }
 
-/// Nodes that were started together do not tell at the same moments.
+/// The first report is delayed at random so that nodes started together do not send at the same
+/// time.
 void ProfileExchange::start() {
   report_timer_.arm(deps_.random.part_of(kReportPeriod), [this] { send_changes(); });
 }
@@ -113,7 +114,7 @@
 void ProfileExchange::receive_for_relay(const ProfileReport& report) {
   const std::size_t bytes = wire::encode(report).size();
   if (kEnvelopeBytes + bytes > kMaxMessageBytes) {
-    // No node sends this.
+    // Other nodes never send a message of this size.
     return;
   }
   receive(report);
@@ -149,9 +150,9 @@
       return nullptr;
     }
   }
-  const auto [entry, fresh] = peers_by_node_.try_emplace(report.node);
+  const auto [entry, is_new] = peers_by_node_.try_emplace(report.node);
   Peer& peer = entry->second;
-  if (fresh) {
+  if (is_new) {
     peer.index = next_index_++;
   } else if (peer.incarnation == report.incarnation && report.sequence <= peer.sequence) {
     ++statistics_.duplicates;
--- a/src/engine_profiles/profile_exchange.h
+++ b/src/engine_profiles/profile_exchange.h
@@ -1,4 +1,4 @@
-// Tells other nodes what this one has learned of engines, and takes what they tell.
+// Exchange of engine profiles between nodes.
 #pragma once
 
 #include <cstdint>
@@ -15,22 +15,23 @@
 namespace ochrespring::engine_profiles {
 
 struct ProfileExchangeStatistics {
-  std::uint64_t reports_sent = 0;      ///< Datagrams for other nodes, relayed ones not counted.
-  std::uint64_t reports_received = 0;  ///< News of other nodes that were new.
-  std::uint64_t duplicates = 0;        ///< News that came again, or late.
-  std::uint64_t changes_dropped = 0;   ///< Engines whose changes were too many to be told.
+  std::uint64_t reports_sent = 0;      ///< Own reports to other nodes, without relayed ones.
+  std::uint64_t reports_received = 0;  ///< New reports of other nodes.
+  std::uint64_t duplicates = 0;        ///< Reports received again or out of order.
+  std::uint64_t changes_dropped = 0;   ///< Changes not reported because too many were pending.
 };
 
-/// Once a second tells what has changed at up to as many engines as fit into one datagram, in turn.
-/// As a relay it gathers the news of others and passes several on in one datagram.
+/// Once a second, reports the changed engines to the other nodes, as many as fit into one datagram,
+/// in round-robin order. As a relay it collects the reports of other nodes and forwards several in
+/// one datagram.
 ///
-/// Does no input or output itself; one loop.
+/// Performs no input or output itself; must be used from one event loop.
 class ProfileExchange {
  public:
-  /// Encoded messages are no longer than this.
+  /// Maximum size of an encoded message.
   static constexpr std::size_t kMaxMessageBytes = 1'200;
 
-  /// References outlive it.
+  /// All references must outlive the exchange.
   struct Dependencies {
     const Clock& clock;
     TimerService& timers;
@@ -47,11 +48,11 @@
   void start();
   void receive(const ProfileReport& report);
   void receive(const RelayedProfileReports& relayed);
-  /// As a relay: takes the news and passes it on to the zone.
+  /// As a relay: merges the report and forwards it to the zone.
   void receive_for_relay(const ProfileReport& report);
-  /// Tells a node that has just started all that is known, by calls of `send`.
+  /// Sends everything known to a node that has just started, by calls of `send`.
   void send_all(const std::function<void(const ProfileReport&)>& send);
-  /// The engine has ended.
+  /// Removes an engine that has terminated.
   void forget(const gateway::BackendId& engine);
 
   const ProfileExchangeStatistics& statistics() const { return statistics_; }
@@ -59,17 +60,19 @@
 
  private:
   static constexpr Duration kReportPeriod = std::chrono::seconds(1);
-  /// Long streams that go on are told again after this time; see LongStreams::kBelief.
+  /// Running long streams are reported again after this time; see LongStreams::kReportLifetime.
   static constexpr Duration kLongStreamRepeatPeriod = std::chrono::milliseconds(1900);
-  /// How long a relay gathers news.
+  /// How long a relay collects reports before it forwards them.
   static constexpr Duration kRelayBatchDelay = std::chrono::milliseconds(200);
-  /// Changes that wait to be told. One datagram holds some 25, and what has waited for a half-life
-  /// of the samples is worth little.
+  /// Maximum number of changes that wait to be reported. One datagram holds about 25, and a change
+  /// that has waited for a half-life of the samples has little value.
   static constexpr std::size_t kMaxPendingChanges = 256;
-  /// Nodes whose news are told apart, and after which silence one is forgotten.
+  /// Maximum number of nodes tracked separately, and the time without a report after which one is
+  /// removed.
   static constexpr std::size_t kMaxPeers = 4'096;
   static constexpr Duration kPeerTimeout = std::chrono::seconds(60);
-  /// To one node that asks: about 1,600 engines, after which the others have the median.
+  /// Maximum number of messages to one node that asks: about 1,600 engines. The node uses the
+  /// median for all others.
   static constexpr std::size_t kMaxFullReportMessages = 64;
 
   struct Peer {
@@ -83,7 +86,7 @@
   void send_changes();
   void requeue_long_streams();
   ProfileReport make_report();
-  /// Whether the news is new and of another node.
+  /// Returns the sender if the report is new and from another node, else null.
   const Peer* accept_report(const ProfileReport& report);
   void flush_relay_batch();
 
@@ -93,9 +96,9 @@
   std::uint64_t sequence_ = 0;
   Transport transport_;
   std::set<gateway::BackendId> pending_changes_;
-  gateway::BackendId last_reported_;  ///< The next datagram goes on behind it.
-  std::map<gateway::BackendId, MonotonicTime>
-      long_stream_engines_;  ///< With long streams; when told last.
+  gateway::BackendId last_reported_;  ///< The next report continues after it.
+  /// Engines with long streams, and when they were last reported.
+  std::map<gateway::BackendId, MonotonicTime> long_stream_engines_;
   std::map<NodeId, Peer> peers_by_node_;
   NodeIndex next_index_ = 0;
   RelayedProfileReports relay_batch_;
--- a/src/engine_profiles/service_paces.cc
+++ b/src/engine_profiles/service_paces.cc
@@ -25,7 +25,7 @@
     const double low = bin < 0 ? 0 : axis.value(bin);
     const double high = bin < axis.size() ? axis.value(bin + 1) : std::max(factor, low) * 2;
     all += counts_.at(bin);
-    // The bin that holds the factor counts by the part of it that lies above.
+    // The bin that contains the factor counts with the share of it that lies above the factor.
     slower += counts_.at(bin) * std::clamp((high - factor) / (high - low), 0.0, 1.0);
   }
   const double left = weight_at_age(now - decayed_at_);
--- a/src/engine_profiles/service_paces.h
+++ b/src/engine_profiles/service_paces.h
@@ -1,4 +1,4 @@
-// How often engines of one service are slower than usual, by the paces they report.
+// How often engines of one service are slower than usual, according to the paces they report.
 #pragma once
 
 #include <boost/histogram.hpp>
@@ -8,13 +8,13 @@
 
 namespace ochrespring::engine_profiles {
 
-/// A histogram whose counts halve within kSampleHalfLife. Pure.
+/// A histogram whose counts decay with the half-life kSampleHalfLife. No side effects.
 class ServicePaces {
  public:
   ServicePaces();
 
   void add(double pace, MonotonicTime now);
-  /// Share of reports of a pace above `factor`, 0 to 1; 0 without reports.
+  /// Returns the share of reports with a pace above `factor`, from 0 to 1; 0 without reports.
   double share_slower_than(double factor, MonotonicTime now) const;
 
  private:
@@ -22,12 +22,14 @@
   using Histogram =
       boost::histogram::histogram<std::tuple<Axis>, boost::histogram::dense_storage<float>>;
 
-  /// Paces from 0.25 to 16 in steps of 4%; all others share two bins.
+  /// Paces from 0.25 to 16 in steps of 4%; values outside fall into an underflow and an overflow
+  /// bin.
   static constexpr double kMinPace = 0.25;
   static constexpr double kMaxPace = 16;
   static constexpr unsigned kBins = 96;
-  /// Reports of the usual pace that are assumed at first: one slow report says little. They do not
-  /// fade, so that the share sinks when reports cease.
+  /// Number of reports of the usual pace that are assumed initially, since one slow report has
+  /// little significance. They do not decay, so that the share decreases when no more reports
+  /// arrive.
   static constexpr double kPriorReports = 4;
 
   Histogram counts_;
--- a/src/engine_profiles/tests/engine_fleet.h
+++ b/src/engine_profiles/tests/engine_fleet.h
@@ -1,4 +1,4 @@
-// A fleet of engines of one service.
+// Test fleet of engines of one service.
 #pragma once
 
 #include <chrono>
@@ -10,15 +10,15 @@
 
 inline const ServiceName kChat("chat");
 inline constexpr std::uint32_t kTokensPerEvent = 75;
-/// 0.54 ms per token: the workload's engine at 1.2 times the nominal speed.
+/// An engine of the workload at 1.2 times the nominal speed.
 inline constexpr Duration kToken = std::chrono::microseconds(540);
 
-/// As long as those of real engines.
+/// Returns an id of the same length as those of real engines.
 inline gateway::BackendId engine_id(int i) {
   return gateway::BackendId("i-7f3a" + std::to_string(10'000 + i) + "@1787834510949");
 }
 
-/// Each fourth engine only prefills.
+/// Creates a fleet in which every fourth engine is a prefill engine.
 inline gateway::FleetState make_fleet(int engines) {
   gateway::FleetState fleet;
   gateway::Service service{.name = kChat};
--- a/src/engine_profiles/tests/engine_profile_table_test.cc
+++ b/src/engine_profiles/tests/engine_profile_table_test.cc
@@ -19,7 +19,7 @@
 
 constexpr std::uint32_t kGaps = 8;
 
-/// A table and a clock.
+/// An engine profile table and a clock.
 struct Fixture {
   gateway::FleetState fleet;
   logging::NullLogger logger;
@@ -45,8 +45,7 @@
 
 }  // namespace
 
-TEST_CASE(
-    "nothing is told before anything has been measured, so that placement decides as before") {
+TEST_CASE("lookups return no profile before the first measurement") {
   Fixture fixture(4);
   fixture.table.note_pace(engine_id(0), 250, fixture.now);
   CHECK_FALSE(fixture.table.find(*fixture.fleet.find(engine_id(0)), fixture.now));
@@ -54,7 +53,7 @@
   CHECK(fixture.table.share_slower_than(ServiceName("other"), 1.5, fixture.now) == 0);
 }
 
-TEST_CASE("slow engines are told from others in spite of slowdowns and concurrent prefills") {
+TEST_CASE("slow engines are detected despite slowdowns and concurrent prefills") {
   Fixture fixture(12);
   for (int round = 0; round != 60; ++round) {
     for (int engine = 0; engine != 12; ++engine) {
@@ -73,13 +72,12 @@
         doctest::Approx(to_seconds(kToken)).epsilon(0.1));
 }
 
-TEST_CASE(
-    "engines that are alike are not taken for different ones, however unevenly they are used") {
+TEST_CASE("identical engines get similar estimates, even if they are used unevenly") {
   Fixture fixture(32);
   double fastest = 10;
   double slowest = 0;
   for (int round = 0; round != 200; ++round) {
-    // Some engines get one sample in 20 rounds, others one in each.
+    // Some engines get one sample in 20 rounds, others one in each round.
     for (int engine = 0; engine != 32; ++engine) {
       if (round % (1 + engine % 20) == 0) {
         const double slowdown = fixture.random.chance(0.15) ? 2.5 : 1;
@@ -101,10 +99,10 @@
   CHECK(median / fastest < 1.2);
 }
 
-TEST_CASE("an engine that is reported slow for a moment is not taken for a fast one afterwards") {
+TEST_CASE("a temporary slowdown report does not make an engine look faster afterwards") {
   Fixture fixture(3);
   for (int round = 0; round != 40; ++round) {
-    // A slowdown ends right after its report: dividing by it would show 0.4 of the true time.
+    // The slowdown ends right after its report; dividing by it would give 0.4 of the true time.
     fixture.table.note_pace(engine_id(0), round % 6 == 0 ? 250 : 100, fixture.now);
     fixture.now += milliseconds(400);
     fixture.gaps(0, kToken);
@@ -115,7 +113,7 @@
   CHECK(fixture.table.statistics().skipped == 7);
 }
 
-TEST_CASE("an engine that always reports the same pace is measured without it") {
+TEST_CASE("a constant reported pace is factored out of an engine's samples") {
   Fixture fixture(3);
   for (int round = 0; round != 40; ++round) {
     fixture.table.note_pace(engine_id(0), 182, fixture.now);
@@ -126,7 +124,7 @@
   CHECK(fixture.output(0) == doctest::Approx(1).epsilon(0.05));
 }
 
-TEST_CASE("an engine without recent samples is taken for a usual one") {
+TEST_CASE("an engine without recent samples has the median speed of its service") {
   Fixture fixture(6);
   for (int round = 0; round != 20; ++round) {
     fixture.gaps(0, 2 * kToken);
@@ -140,7 +138,7 @@
   CHECK(fixture.output(0) == doctest::Approx(1).epsilon(0.1));
 }
 
-TEST_CASE("prefill time is that of a prefill engine, whichever engine was measured") {
+TEST_CASE("prefill times are normalized to a prefill engine, whichever engine was measured") {
   Fixture fixture(4);
   const Duration token = microseconds(2);
   for (int round = 0; round != 10; ++round) {
@@ -156,7 +154,7 @@
   }
   CHECK(to_seconds(fixture.profile(3).prompt_token) == doctest::Approx(2e-6).epsilon(0.02));
   CHECK(to_seconds(fixture.profile(0).prompt_token) == doctest::Approx(2e-6).epsilon(0.02));
-  // Of these nothing can be learned of undisturbed work.
+  // These observations do not show the undisturbed speed.
   const auto skipped = fixture.table.statistics().skipped;
   fixture.table.note_prefill({.engine = engine_id(3), .took = token * 100, .tokens = 100},
                              fixture.now);
@@ -166,7 +164,7 @@
   CHECK(fixture.table.statistics().skipped == skipped + 2);
 }
 
-TEST_CASE("the share of slow time follows the reports and fades without them") {
+TEST_CASE("the share of slow time follows the reports and decays without them") {
   Fixture fixture(4);
   for (int i = 0; i != 400; ++i) {
     fixture.table.note_pace(engine_id(i % 4), i % 5 == 0 ? 250 : 100, fixture.now);
@@ -178,7 +176,7 @@
   CHECK(fixture.table.share_slower_than(kChat, 1.5, fixture.now + seconds(120)) < 0.02);
 }
 
-TEST_CASE("long streams are counted, and an engine that has ended is forgotten with them") {
+TEST_CASE("long streams are counted and removed with a terminated engine") {
   Fixture fixture(2);
   fixture.gaps(0, kToken);
   fixture.table.begin_long_stream(engine_id(0), fixture.now);
@@ -192,7 +190,7 @@
   CHECK(fixture.table.size() == 0);
 }
 
-TEST_CASE("values that cannot be true are rejected") {
+TEST_CASE("implausible values are rejected") {
   Fixture fixture(5);
   for (const int engine : {0, 2, 4}) {
     fixture.gaps(engine, kToken);
--- a/src/engine_profiles/tests/memory_test.cc
+++ b/src/engine_profiles/tests/memory_test.cc
@@ -1,6 +1,6 @@
-// A node has as little as 120 MB: what it keeps of engines has a bound, which one more field for
-// each engine would break without any other test noticing. Sanitizers replace the allocator that
-// is asked: under them only the walk through the code counts.
+// A node may have as little as 120 MB of memory. This test guards the bound on the memory used for
+// engine profiles: one additional field per engine can exceed it without failing any other test.
+// Sanitizers replace the queried allocator; with them the test only exercises the code.
 #include <doctest/doctest.h>
 #include <malloc.h>
 
@@ -29,12 +29,12 @@
 
 std::size_t bytes_in_use() {
   const auto info = mallinfo2();
-  return info.uordblks + info.hblkhd;  // The latter are large blocks.
+  return info.uordblks + info.hblkhd;  // `hblkhd` counts large blocks.
 }
 
 }  // namespace
 
-TEST_CASE("what a node of 66 keeps of 10,000 engines stays below 4 MB") {
+TEST_CASE("the profiles of 10,000 engines in a fleet of 66 nodes use less than 4 MB") {
   const gateway::FleetState fleet = make_fleet(kEngines);
   simulation::VirtualTime time;
   SeededRandom random(1);
@@ -44,14 +44,15 @@
   ProfileExchange exchange({time, time, random, *table}, NodeId("n0"),
                            {.broadcast = [](const auto&) {}, .send_to_zone = [](const auto&) {}});
   exchange.start();
-  // This node uses every engine itself, and all others tell of long streams as fast as they may.
+  // This node uses every engine itself, and all other nodes report long streams at the maximum
+  // rate.
   for (int i = 0; i != kEngines; ++i) {
     table->note_gaps({.engine = engine_id(i), .gaps = 8, .took = milliseconds(324)}, time.now());
     table->note_pace(engine_id(i), 100, time.now());
     table->begin_long_stream(engine_id(i), time.now());
   }
   int next = 0;
-  std::size_t most_bytes = 0;
+  std::size_t peak_bytes = 0;
   for (int second = 1; second != 20; ++second) {
     for (int node = 1; node != kNodes; ++node) {
       ProfileReport report{.node = NodeId("n" + std::to_string(node)),
@@ -67,9 +68,9 @@
       exchange.receive_for_relay(report);
     }
     time.run_until(time.now() + seconds(1));
-    most_bytes = std::max(most_bytes, bytes_in_use() - before);
+    peak_bytes = std::max(peak_bytes, bytes_in_use() - before);
   }
   CHECK(table->size() == kEngines);
-  MESSAGE("bytes: " << most_bytes);
-  CHECK(most_bytes < kMaxTableBytes);
+  MESSAGE("bytes: " << peak_bytes);
+  CHECK(peak_bytes < kMaxTableBytes);
 }
--- a/src/engine_profiles/tests/profile_exchange_test.cc
+++ b/src/engine_profiles/tests/profile_exchange_test.cc
@@ -20,7 +20,7 @@
 
 namespace {
 
-/// One node's exchange; what it tells waits in `told`.
+/// The exchange of one node; its messages are collected in `sent` and `relayed`.
 struct Node {
   Node(simulation::VirtualTime& time, const gateway::FleetState& fleet, const std::string& name,
        std::uint64_t seed)
@@ -55,7 +55,7 @@
     node.table.note_gaps(
         {.engine = engine_id(engine), .gaps = 8, .took = 8 * kTokensPerEvent * token}, time.now());
   }
-  /// Time passes; every other node hears what each told, if `delivered`.
+  /// Advances time; if `delivered`, every other node receives what each node has sent.
   void advance(Duration span, bool delivered = true) {
     time.run_until(time.now() + span);
     for (const auto& from : nodes) {
@@ -71,7 +71,7 @@
   std::optional<gateway::EngineProfile> find(const Node& node, int engine) const {
     return node.table.find(*fleet.find(engine_id(engine)), time.now());
   }
-  /// In multiples of kToken; 0: nothing is known.
+  /// Returns multiples of kToken; 0 if there is no profile.
   double output(const Node& node, int engine) const {
     const auto profile = find(node, engine);
     return profile ? to_seconds(profile->output_token) / to_seconds(kToken) : 0;
@@ -80,7 +80,7 @@
 
 }  // namespace
 
-TEST_CASE("a node learns of engines that only others use, and adds their long streams up") {
+TEST_CASE("a node learns the speed of engines that only others use and sums their long streams") {
   ExchangeFixture fixture(4, 3);
   for (int round = 0; round != 10; ++round) {
     for (int i = 0; i != 10; ++i) {
@@ -96,7 +96,7 @@
 
   fixture.nodes[0]->table.begin_long_stream(engine_id(3), fixture.time.now());
   fixture.nodes[1]->table.begin_long_stream(engine_id(3), fixture.time.now());
-  // Long streams that go on stay known, without any further change.
+  // Running long streams stay known without any further change.
   for (int second = 0; second != 12; ++second) {
     fixture.advance(seconds(1));
   }
@@ -107,7 +107,7 @@
   CHECK(fixture.find(*fixture.nodes[2], 3)->long_streams == 1);
 }
 
-TEST_CASE("a node that is cut off goes on with what it knows, then with the median") {
+TEST_CASE("an isolated node keeps its estimates at first and later falls back to the median") {
   ExchangeFixture fixture(4, 2);
   for (int round = 0; round != 10; ++round) {
     for (int i = 0; i != 10; ++i) {
@@ -125,7 +125,7 @@
   CHECK(fixture.find(*fixture.nodes[1], 0)->long_streams == 0);
 }
 
-TEST_CASE("news fit into a datagram, come once a second, and tell every engine in turn") {
+TEST_CASE("reports fit into a datagram, are sent once a second and cover every engine in turn") {
   ExchangeFixture fixture(100, 2);
   for (int i = 0; i != 100; ++i) {
     fixture.gaps(*fixture.nodes[0], i, kToken);
@@ -142,7 +142,7 @@
   CHECK(fixture.nodes[0]->exchange.statistics().reports_sent <= 6);
 }
 
-TEST_CASE("news that come twice or by two relays count once") {
+TEST_CASE("a report received twice or by two relays counts once") {
   ExchangeFixture fixture(2, 4);
   fixture.gaps(*fixture.nodes[0], 0, kToken);
   fixture.time.run_until(fixture.time.now() + seconds(1));
@@ -159,12 +159,12 @@
   CHECK(fixture.output(*fixture.nodes[3], 0) == doctest::Approx(1).epsilon(0.01));
   CHECK(fixture.nodes[3]->exchange.statistics().reports_received == 1);
   CHECK(fixture.nodes[3]->exchange.statistics().duplicates == 1);
-  // A relay may hear its own zone's news again; its own are never taken.
+  // A node ignores its own report when a relay sends it back.
   fixture.nodes[0]->exchange.receive(fixture.nodes[1]->relayed[0]);
   CHECK(fixture.nodes[0]->exchange.statistics().reports_received == 0);
 }
 
-TEST_CASE("a relay passes full datagrams on at once, and none that is too long") {
+TEST_CASE("a relay forwards full datagrams at once and none that exceeds the maximum size") {
   ExchangeFixture fixture(60, 2);
   Node& relay = *fixture.nodes[0];
   for (int i = 0; i != 12; ++i) {
@@ -176,16 +176,16 @@
     relay.exchange.receive_for_relay(report);
   }
   fixture.time.run_until(fixture.time.now() + seconds(1));
-  std::size_t passed_on = 0;
+  std::size_t forwarded = 0;
   for (const RelayedProfileReports& relayed : relay.relayed) {
     CHECK(wire::encode(relayed).size() + 1 <= ProfileExchange::kMaxMessageBytes);
-    passed_on += relayed.reports.size();
+    forwarded += relayed.reports.size();
   }
-  CHECK(passed_on == 12);
+  CHECK(forwarded == 12);
   CHECK(relay.relayed.size() <= 3);
 }
 
-TEST_CASE("a node that starts is told all that another knows") {
+TEST_CASE("a node that starts receives everything another node knows") {
   ExchangeFixture fixture(60, 2);
   for (int i = 0; i != 60; ++i) {
     for (int sample = 0; sample != 10; ++sample) {
@@ -204,12 +204,12 @@
   CHECK(fixture.output(*fixture.nodes[1], 59) == doctest::Approx(1).epsilon(0.02));
 }
 
-TEST_CASE("nonsense that a node reports is ignored, also before anything else is known") {
+TEST_CASE("implausible reports are ignored, also before the first valid one") {
   ExchangeFixture fixture(8, 1);
   Node& node = *fixture.nodes[0];
   std::uint64_t sequence = 0;
   const auto report_speed = [&](int engine, Duration token, std::uint32_t streams = 0) {
-    node.exchange.receive(ProfileReport{.node = NodeId("liar"),
+    node.exchange.receive(ProfileReport{.node = NodeId("faulty"),
                                         .incarnation = 1,
                                         .sequence = ++sequence,
                                         .engines = {{.engine = engine_id(engine),
@@ -230,7 +230,7 @@
   report_speed(6, Duration::zero(), 4'000'000'000U);
   CHECK(fixture.output(node, 5) == doctest::Approx(1).epsilon(0.01));
   CHECK(fixture.find(node, 6)->long_streams == 0);
-  // An engine that is not registered is not remembered: nothing would ever forget it.
+  // An engine that is not registered is not stored: nothing would ever remove it.
   const std::size_t before = node.table.size();
   report_speed(99, kToken);
   CHECK(node.table.size() == before);
--- a/src/engine_profiles/types.h
+++ b/src/engine_profiles/types.h
@@ -1,4 +1,4 @@
-// What nodes tell each other of the speed of engines.
+// Messages between nodes on the speed of engines.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +10,8 @@
 
 namespace ochrespring::engine_profiles {
 
-/// Undisturbed time per token, and how many new samples speak for it; 0 samples: nothing is told.
+/// The undisturbed time per token and the number of new samples behind it; 0 samples: no value is
+/// reported.
 struct ReportedSpeed {
   Duration time_per_token{};
   std::uint32_t samples = 0;
@@ -24,12 +25,12 @@
   }
 };
 
-/// One engine as one node knows it.
+/// What one node knows about one engine.
 struct EngineProfileReport {
   gateway::BackendId engine;
   ReportedSpeed output{};
   ReportedSpeed prompt{};
-  std::uint32_t long_streams = 0;  ///< Of the node's own callers, now.
+  std::uint32_t long_streams = 0;  ///< Current number, for the sender's own callers.
 
   bool operator==(const EngineProfileReport&) const = default;
 
@@ -42,11 +43,11 @@
   }
 };
 
-/// One datagram. Values are absolute: what is lost is replaced by the next one.
+/// A report in one datagram. Values are absolute, so that the next report replaces a lost one.
 struct ProfileReport {
   NodeId node;
-  std::uint64_t incarnation = 0;  ///< Drawn at the sender's start.
-  std::uint64_t sequence = 0;     ///< Rises within one life.
+  std::uint64_t incarnation = 0;  ///< Random, drawn when the sender starts.
+  std::uint64_t sequence = 0;     ///< Increases within one incarnation.
   std::vector<EngineProfileReport> engines;
 
   template <class Archive>
@@ -58,7 +59,7 @@
   }
 };
 
-/// News of several nodes, from a relay.
+/// Reports of several nodes, forwarded by a relay.
 struct RelayedProfileReports {
   std::vector<ProfileReport> reports;
 
