--- a/src/rate_limit/coordinator_selector.h
+++ b/src/rate_limit/coordinator_selector.h
@@ -1,4 +1,4 @@
-// Which node coordinates the sends of all nodes to one limited back end.
+// Selects the node that coordinates the sends of all nodes to one rate-limited back end.
 #pragma once
 
 #include <cstdint>
@@ -11,23 +11,23 @@
 
 namespace ochrespring::rate_limit {
 
-/// Ranks nodes by rendezvous hash: all that know the same fleet name the same coordinator, and the
-/// back ends spread over the nodes. A node that does not answer (gone but still registered, cut
-/// off, or of a build that knows no permits) is passed over for a while, and each time for twice as
-/// long. Pure; one loop.
+/// Ranks nodes by rendezvous hash: all nodes that know the same fleet select the same coordinator,
+/// and back ends are distributed over the nodes. A node that does not answer (terminated but still
+/// registered, isolated, or of a build without permits) is skipped for a while, twice as long each
+/// time. No side effects; must be used from one event loop.
 class CoordinatorSelector {
  public:
   explicit CoordinatorSelector(const discovery::NodeDirectory& nodes) : nodes_(nodes) {}
 
-  /// Null: this node itself.
+  /// Returns null if this node itself is the coordinator.
   const discovery::NodeRecord* select(const gateway::BackendId& backend, MonotonicTime now);
-  /// A request that was sent to a node stays unanswered.
+  /// A request to the node remained unanswered.
   void note_unanswered(const NodeId& node, MonotonicTime now);
   void note_answered(const NodeId& node) { unresponsive_.erase(node); }
   void forget(const gateway::BackendId& backend) { selections_.erase(backend); }
 
  private:
-  /// A node that answers nothing for so long is passed over; single datagrams are lost.
+  /// A node is skipped once it has not answered for this long; single datagrams may be lost.
   static constexpr Duration kUnansweredTolerance{std::chrono::milliseconds(300)};
   static constexpr Duration kFirstSkip{std::chrono::seconds(3)};
   static constexpr Duration kMaxSkip{std::chrono::seconds(60)};
@@ -39,7 +39,7 @@
   };
   struct Selection {
     std::uint64_t fleet_version = 0;
-    MonotonicTime valid_until{};  ///< Then a node that was passed over is tried again.
+    MonotonicTime valid_until{};  ///< When a skipped node is tried again.
     NodeId node;
   };
 
--- a/src/rate_limit/limit_table.cc
+++ b/src/rate_limit/limit_table.cc
@@ -8,7 +8,7 @@
 
 using Kind = gateway::RateStatement::Kind;
 
-/// Of two nodes that raised the same version, the one that heard the lower limit is believed.
+/// If two nodes have assigned the same version, the lower limit takes precedence.
 bool is_newer(const LimitReport& report, const LimitReport& known) {
   if (report.version != known.version || report.same_limit_as(known)) {
     return report.version > known.version;
--- a/src/rate_limit/limit_table.h
+++ b/src/rate_limit/limit_table.h
@@ -1,4 +1,4 @@
-// What this node knows of back ends' rate limits.
+// The rate limits of back ends known to this node.
 #pragma once
 
 #include <map>
@@ -9,21 +9,23 @@
 
 namespace ochrespring::rate_limit {
 
-/// A limit holds until the back end answers without one. An answer counts only if its request was
-/// sent after what is known here was learnt: the head of an older one may have been made before.
-/// Pure; one loop.
+/// Stores the latest rate limit of each back end. A limit holds until the back end answers without
+/// one. An answer counts only if its request was sent after this node learned the stored limit: the
+/// head of an older answer may have been generated before that. No side effects; must be used from
+/// one event loop.
 class LimitTable {
  public:
-  /// Versions beyond this are no node's: each is one statement of a back end.
+  /// Higher versions are rejected as invalid: a version increases by one with each change that a
+  /// back end states.
   static constexpr std::uint64_t kMaxVersion = std::uint64_t{1} << 53U;
 
-  /// Returns what other nodes are to be told, if the answer says something new.
+  /// Returns a report for other nodes if the answer changes the limit.
   std::optional<LimitReport> note_answer(const RateAnswer& answer, MonotonicTime now);
-  /// Whether the news changed what is known.
+  /// Merges another node's report. Returns whether it changed the limit.
   bool merge(const LimitReport& report, MonotonicTime now);
-  /// Null: nothing was ever heard.
+  /// Returns null if nothing was received for the back end.
   const LimitReport* find(const gateway::BackendId& backend) const;
-  /// The limit in force; none: there is none.
+  /// Returns the limit in force, if any.
   std::optional<gateway::RequestRate> limit_of(const gateway::BackendId& backend) const;
   void forget(const gateway::BackendId& backend) { known_.erase(backend); }
 
@@ -38,7 +40,7 @@
  private:
   struct Known {
     LimitReport report;
-    MonotonicTime since{};  ///< When this node learnt it.
+    MonotonicTime since{};  ///< When this node learned it.
   };
 
   std::map<gateway::BackendId, Known> known_;
--- a/src/rate_limit/permit_bucket.cc
+++ b/src/rate_limit/permit_bucket.cc
@@ -41,7 +41,7 @@
   return urgent_pending ? std::min(2.0, capacity()) : 1;
 }
 
-/// Turns follow each other as tokens come.
+/// Assigns each waiting node the time at which the next token after the last assigned one arrives.
 Duration PermitBucket::assign_wait(const NodeId& node, double missing, MonotonicTime now) {
   std::erase_if(turns_, [&](const auto& turn) { return turn.second <= now; });
   const MonotonicTime token_at = now + from_seconds(missing / per_second());
--- a/src/rate_limit/permit_bucket.h
+++ b/src/rate_limit/permit_bucket.h
@@ -1,4 +1,4 @@
-// The permits of one limited back end, as its coordinator gives them to nodes.
+// The permits for one rate-limited back end, as its coordinator grants them to nodes.
 #pragma once
 
 #include <cstdint>
@@ -16,34 +16,34 @@
   Duration wait{};
 };
 
-/// A token bucket that begins empty, is filled at the limit, and holds what comes in one second and
-/// one request more: a second's requests are what the limit allows, and a limit below one a second
-/// has to add up to a whole request.
+/// A token bucket that starts empty and is filled at the rate of the limit. It holds the tokens of
+/// one second plus one: the limit allows the requests of one second at once, and a limit below one
+/// per second has to accumulate a whole token.
 ///
-/// A node that is denied is told a time of its own to ask again at, so that nodes that wait do not
-/// all ask when one token has come. A request takes the last token only if no more urgent one was
-/// denied of late. Pure; one loop.
+/// Each denied node is assigned its own time to ask again, so that waiting nodes do not all ask
+/// when one token arrives. A request takes the last token only if no more urgent one was denied
+/// recently. No side effects; must be used from one event loop.
 class PermitBucket {
  public:
-  /// `now`: when the bucket begins.
+  /// `now` is the time at which the bucket starts.
   explicit PermitBucket(gateway::RequestRate limit, MonotonicTime now)
       : limit_(limit), refilled_at_(now) {}
 
-  /// The limit has changed; tokens that are there stay, up to what the bucket then holds.
+  /// Changes the limit. Existing tokens are kept up to the new capacity.
   void set_limit(gateway::RequestRate limit, MonotonicTime now);
   PermitDecision request_permit(const NodeId& node, gateway::SendRank rank, MonotonicTime now);
 
  private:
-  /// A back end that takes nothing gets one request in five seconds all the same: its answer tells
+  /// A back end whose limit is zero still gets one request in five seconds: its answer shows
   /// whether the limit has ended.
   static constexpr double kMinPermitsPerSecond = 0.2;
   static constexpr Duration kBurstSpan{std::chrono::seconds(1)};
-  /// How long a denied request keeps less urgent ones from the last token.
+  /// How long a denied request reserves the last token against less urgent ones.
   static constexpr Duration kUrgentReservation{std::chrono::seconds(1)};
-  /// A node that waits for its turn asks again after this long at the latest, unless no token can
-  /// have come by then: others may have gone elsewhere.
+  /// Maximum time until a waiting node asks again, unless no token can arrive by then: other nodes
+  /// may no longer wait.
   static constexpr Duration kMaxTurnWait{std::chrono::seconds(1)};
-  /// Sooner than this nothing has changed.
+  /// Minimum wait; earlier, nothing has changed.
   static constexpr Duration kMinWait{std::chrono::milliseconds(10)};
 
   double per_second() const;
@@ -55,8 +55,8 @@
   gateway::RequestRate limit_;
   double tokens_ = 0;
   MonotonicTime refilled_at_;
-  std::map<gateway::SendRank, MonotonicTime> denied_at_;  ///< Last denial of each rank.
-  std::map<NodeId, MonotonicTime> turns_;                 ///< Of nodes that wait.
+  std::map<gateway::SendRank, MonotonicTime> denied_at_;  ///< Last denial per rank.
+  std::map<NodeId, MonotonicTime> turns_;                 ///< When each waiting node may ask again.
 };
 
 }  // namespace ochrespring::rate_limit
--- a/src/rate_limit/rate_limiter.cc
+++ b/src/rate_limit/rate_limiter.cc
@@ -13,30 +13,30 @@
 using std::chrono::milliseconds;
 
 constexpr std::string_view kComponent = "rate_limit";
-/// After this time a request for a permit is sent again, in case a datagram was lost: a round trip
-/// between zones takes some 10 ms.
+/// A permit request is sent again after this time, in case a datagram was lost: a round trip
+/// between zones takes about 10 ms.
 constexpr Duration kRetryDelay = milliseconds(50);
-/// After this time the request goes elsewhere, and a grant is worth nothing: it is of a time in
-/// which the coordinator's bucket has been filled again.
+/// After this time the request tries another back end, and a grant is no longer valid: the
+/// coordinator's bucket has been refilled since.
 constexpr Duration kPermitTimeout = milliseconds(150);
-/// How long a back end is left alone that no coordinator has answered for.
+/// How long nothing is sent to a back end whose coordinator does not answer.
 constexpr Duration kUnansweredBackoff = milliseconds(250);
-/// Bounds on the wait that a coordinator tells.
+/// Bounds on the wait that a coordinator returns.
 constexpr Duration kMinWait = milliseconds(10);
 constexpr Duration kMaxWait = std::chrono::seconds(10);
 
 constexpr metrics::CounterRow<RateLimiterStatistics> kCounters[] = {
-    {"rate_permits_granted", "Sends to rate-limited back ends that were allowed",
+    {"rate_permits_granted", "Permits granted to this node for sends to rate-limited back ends",
      &RateLimiterStatistics::permits_granted},
-    {"rate_permits_denied", "Sends to rate-limited back ends that were not allowed",
+    {"rate_permits_denied", "Permits denied to this node for sends to rate-limited back ends",
      &RateLimiterStatistics::permits_denied},
-    {"rate_permits_unanswered", "Sends not allowed since no coordinator answered",
+    {"rate_permits_unanswered", "Permit requests that no coordinator answered in time",
      &RateLimiterStatistics::permits_unanswered},
-    {"rate_permits_issued", "Sends of all nodes that this node has allowed as a coordinator",
+    {"rate_permits_issued", "Permits that this node has granted to all nodes as a coordinator",
      &RateLimiterStatistics::permits_issued},
-    {"rate_limits_heard", "Changes of rate limits in answers of back ends",
+    {"rate_limits_heard", "Changed rate limits in answers of back ends",
      &RateLimiterStatistics::limit_changes},
-    {"rate_limits_unreadable", "Answers whose rate limit could not be read",
+    {"rate_limits_unreadable", "Answers with a malformed rate limit",
      &RateLimiterStatistics::limits_unreadable},
 };
 
@@ -102,7 +102,7 @@
   ++statistics_.permits_unanswered;
   deps_.logger.write({logging::Level::kWarning,
                       kComponent,
-                      "no coordinator answers for a rate limit",
+                      "coordinator of a rate limit does not answer",
                       {{"backend", claim.request.known.backend.value()},
                        {"coordinator", claim.coordinator.value()}}});
   coordinators_.note_unanswered(claim.coordinator, deps_.clock.now());
@@ -138,7 +138,7 @@
   if (const auto limit = limits_.limit_of(backend)) {
     decision = issue(backend, request.node, request.rank, *limit);
   } else if (deps_.fleet.find(backend) == nullptr) {
-    // This node has not heard of the back end yet, or not of its limit's end.
+    // Either the back end or the end of its limit is not yet known to this node.
     decision = {.granted = false, .wait = kUnansweredBackoff};
   }
   channel_.send_reply(request.reply_to, {.node = deps_.nodes.self().node,
@@ -171,7 +171,7 @@
 }
 
 void RateLimiter::merge_report(const LimitReport& report, std::string_view source) {
-  // A back end that has gone already, or was not seen yet, would never be forgotten again.
+  // A limit of a back end that has terminated or is not yet known would never be removed.
   const bool known = deps_.fleet.find(report.backend) != nullptr;
   if (known && limits_.merge(report, deps_.clock.now())) {
     apply_change(report, source);
@@ -183,7 +183,7 @@
     ++statistics_.limits_unreadable;
     deps_.logger.write({logging::Level::kWarning,
                         kComponent,
-                        "rate limit cannot be read",
+                        "malformed rate limit",
                         {{"backend", answer.backend.value()}, {"value", answer.statement.text}}});
     return;
   }
@@ -200,13 +200,13 @@
   if (report->limited != was_limited) {
     channel_.broadcast(*report);
   } else if (const auto* coordinator = coordinators_.select(report->backend, deps_.clock.now())) {
-    // All know already that there is a limit; the rate itself matters to one.
+    // All nodes already know that there is a limit; only the coordinator needs the rate.
     channel_.send(coordinator->peer_address, *report);
   }
 }
 
 void RateLimiter::apply_change(const LimitReport& report, std::string_view source) {
-  const std::string_view message = report.limited ? "rate limit heard" : "rate limit ended";
+  const std::string_view message = report.limited ? "rate limit changed" : "rate limit ended";
   deps_.logger.write({logging::Level::kInfo,
                       kComponent,
                       std::string(message),
@@ -247,7 +247,7 @@
 
 void RateLimiter::add_metrics(metrics::SampleSink& sink) const {
   metrics::add_counters(kCounters, statistics_, sink);
-  sink.gauge({"rate_limited_backends", "Back ends that name a rate limit"},
+  sink.gauge({"rate_limited_backends", "Back ends with a rate limit"},
              static_cast<double>(limits_.limited_count()));
   sink.gauge({"rate_coordinated_backends", "Rate-limited back ends that this node coordinates"},
              static_cast<double>(buckets_.size()));
--- a/src/rate_limit/rate_limiter.h
+++ b/src/rate_limit/rate_limiter.h
@@ -1,4 +1,4 @@
-// Keeps this node's sends to back ends that name a rate limit within what all nodes may send.
+// Keeps the sends of all nodes to rate-limited back ends within the limits.
 #pragma once
 
 #include <cstdint>
@@ -24,22 +24,22 @@
 struct RateLimiterStatistics {
   std::uint64_t permits_granted = 0;     ///< To this node's requests.
   std::uint64_t permits_denied = 0;      ///< To this node's requests.
-  std::uint64_t permits_unanswered = 0;  ///< No coordinator answered in time: taken for denied.
-  std::uint64_t permits_issued = 0;      ///< By this node, to all.
-  std::uint64_t limit_changes = 0;       ///< Changes of limits in answers to this node.
-  std::uint64_t limits_unreadable = 0;   ///< Answers whose limit could not be read.
+  std::uint64_t permits_unanswered = 0;  ///< No coordinator answered in time; treated as denied.
+  std::uint64_t permits_issued = 0;      ///< By this node as a coordinator, to all nodes.
+  std::uint64_t limit_changes = 0;       ///< Changed limits in answers to this node.
+  std::uint64_t limits_unreadable = 0;   ///< Answers with a malformed limit.
 };
 
-/// One node of the fleet coordinates the sends to a limited back end: it owns the back end's token
-/// bucket, and each node asks it for leave (a permit) before each send. Nodes learn of limits from
-/// answers and from each other; what nodes know goes with every request for a permit and every
-/// reply. Where no coordinator answers, nothing is sent: a late answer elsewhere is better than a
-/// server that is given more than it can take.
+/// One node of the fleet coordinates the sends to a rate-limited back end: it owns the back end's
+/// token bucket, and each node requests a permit from it before each send. Nodes learn limits from
+/// answers and from each other; each permit request and reply carries the sender's known limit. If
+/// no coordinator answers, nothing is sent: a late answer from another back end is better than an
+/// overloaded one.
 ///
-/// Does no input or output itself; one loop.
+/// Performs no input or output itself; must be used from one event loop.
 class RateLimiter final {
  public:
-  /// References outlive it.
+  /// All references must outlive the limiter.
   struct Dependencies {
     const Clock& clock;
     TimerService& timers;
@@ -49,7 +49,7 @@
     const discovery::NodeDirectory& nodes;
   };
 
-  /// How the limiter's messages get to other nodes; they may be lost, doubled or late.
+  /// Sends the limiter's messages to other nodes; messages may be lost, duplicated or delayed.
   struct Channel {
     std::function<void(const LimitReport&)> broadcast;
     std::function<void(const Endpoint& to, const LimitReport&)> send;
@@ -59,13 +59,13 @@
 
   RateLimiter(Dependencies deps, Channel channel);
 
-  /// Whether the back end may have room for a request, as far as this node knows.
+  /// Returns whether the back end may have room for a request, as far as this node knows.
   bool has_room(const gateway::BackendId& backend, MonotonicTime now) const {
     return time_to_room(backend, now) == Duration::zero();
   }
-  /// How long until has_room() may say so; zero: it does.
+  /// Returns the time until has_room() may return true; zero if it does now.
   Duration time_to_room(const gateway::BackendId& backend, MonotonicTime now) const;
-  /// All back ends that have no room now.
+  /// Calls `visit` for each back end that has no room now.
   template <class Visit>
   void for_each_closed(MonotonicTime now, const Visit& visit) const {
     for (const auto& [backend, until] : closed_until_) {
@@ -74,7 +74,7 @@
       }
     }
   }
-  /// To be asked before each send, of whatever kind. `done` is called for kPending alone.
+  /// Must be called before each send of any kind. `done` is called only after kPending.
   gateway::ClaimResult claim(const gateway::BackendId& backend, gateway::SendRank rank,
                              std::function<void(bool granted)> done);
   void note_answer(const RateAnswer& answer);
@@ -82,9 +82,9 @@
   void receive(const LimitReport& report);
   void receive(const PermitRequest& request);
   void receive(const PermitReply& reply);
-  /// Tells a node that has just started all that is known.
+  /// Sends all known limits to a node that has just started.
   void send_all(const std::function<void(const LimitReport&)>& send) const;
-  /// The back end has gone; its id is not used again.
+  /// Removes a back end that has terminated; its id is not used again.
   void forget(const gateway::BackendId& backend);
 
   const LimitTable& limits() const { return limits_; }
@@ -92,7 +92,7 @@
   void add_metrics(metrics::SampleSink& sink) const;
 
  private:
-  /// A request for a permit that no coordinator has answered yet.
+  /// A permit request that no coordinator has answered yet.
   struct Claim {
     explicit Claim(TimerService& timers) : timer(timers) {}
 
@@ -109,9 +109,9 @@
   void send_request(std::uint64_t sequence);
   void on_unanswered(std::uint64_t sequence);
   void complete(std::uint64_t sequence, bool granted);
-  /// Nothing is sent to the back end for so long.
+  /// Sends nothing to the back end for the given time.
   void close(const gateway::BackendId& backend, Duration span);
-  /// Where the news changes what is known, everything here follows it.
+  /// Merges a report and, if it changes the limit, updates the state that depends on it.
   void merge_report(const LimitReport& report, std::string_view source);
   void apply_change(const LimitReport& report, std::string_view source);
   LimitReport known(const gateway::BackendId& backend) const;
@@ -120,7 +120,8 @@
   Channel channel_;
   LimitTable limits_;
   CoordinatorSelector coordinators_;
-  std::map<gateway::BackendId, PermitBucket> buckets_;  ///< Of those that this node coordinates.
+  /// Of back ends that this node coordinates.
+  std::map<gateway::BackendId, PermitBucket> buckets_;
   std::map<gateway::BackendId, MonotonicTime> closed_until_;
   std::map<std::uint64_t, Claim> claims_;  ///< By sequence.
   std::uint64_t next_sequence_;
--- a/src/rate_limit/tests/coordinator_selector_test.cc
+++ b/src/rate_limit/tests/coordinator_selector_test.cc
@@ -1,4 +1,4 @@
-// Which node all nodes name, and which they pass over.
+// Selection of coordinators, and nodes that are skipped.
 #include "rate_limit/coordinator_selector.h"
 
 #include <doctest/doctest.h>
@@ -39,7 +39,7 @@
 
 }  // namespace
 
-TEST_CASE("all nodes name the same coordinator, and back ends spread over nodes") {
+TEST_CASE("all nodes select the same coordinator, and back ends are distributed over the nodes") {
   simulation::VirtualTime time;
   SelectorFixture first(time, 0, 20);
   SelectorFixture second(time, 7, 20);
@@ -52,7 +52,7 @@
   CHECK(selected.size() > 10);
 }
 
-TEST_CASE("a node that leaves coordinates no more, for itself neither") {
+TEST_CASE("a leaving node is not selected, not even by itself") {
   simulation::VirtualTime time;
   SelectorFixture fleet(time, 0, 6);
   fleet.nodes.leave();
@@ -61,7 +61,7 @@
   }
 }
 
-TEST_CASE("a silent coordinator is passed over, each time for longer, until it answers") {
+TEST_CASE("an unresponsive coordinator is skipped, each time for longer, until it answers") {
   simulation::VirtualTime time;
   SelectorFixture fleet(time, 0, 2);
   std::string backend = "s";
@@ -71,7 +71,7 @@
   const NodeId silent("n1");
   const auto unanswered = [&] { fleet.selector.note_unanswered(silent, time.now()); };
   unanswered();
-  CHECK(fleet.select(backend, time.now()) == "n1");  // One lost datagram says nothing.
+  CHECK(fleet.select(backend, time.now()) == "n1");  // A single datagram may be lost.
   time.run_until(time.now() + 400ms);
   unanswered();
   CHECK(fleet.select(backend, time.now()) == "n0");
--- a/src/rate_limit/tests/limit_table_test.cc
+++ b/src/rate_limit/tests/limit_table_test.cc
@@ -1,4 +1,4 @@
-// What nodes know of limits: by their own answers, and by news in any order.
+// Limits learned from answers and from reports in any order.
 #include "rate_limit/limit_table.h"
 
 #include <doctest/doctest.h>
@@ -34,7 +34,7 @@
 
 }  // namespace
 
-TEST_CASE("a limit is heard once, and each change of it") {
+TEST_CASE("a limit is reported once, and again after each change") {
   LimitTable table;
   CHECK_FALSE(table.note_answer(unlimited_answer(0s), at(1s)));
   const auto first = table.note_answer(limited_answer(2, 1s), at(2s));
@@ -47,8 +47,7 @@
   CHECK(table.limit_of(kBackend)->thousandths == 400);
 }
 
-TEST_CASE(
-    "an answer to a request from before a limit was heard neither ends it nor brings it back") {
+TEST_CASE("an answer to a request sent before the limit was learned neither ends nor restores it") {
   LimitTable table;
   table.note_answer(limited_answer(2, 1s), at(2s));
   CHECK_FALSE(table.note_answer(unlimited_answer(1500ms), at(3s)));
@@ -61,7 +60,7 @@
   CHECK(table.note_answer(limited_answer(2, 3500ms), at(4s)));
 }
 
-TEST_CASE("an answer whose limit cannot be read leaves a limit as it is") {
+TEST_CASE("an answer with a malformed limit does not change the limit") {
   LimitTable table;
   RateAnswer unreadable{kBackend, at(5s), {Kind::kUnreadable, {}, "1,3"}};
   CHECK_FALSE(table.note_answer(unreadable, at(6s)));
@@ -71,14 +70,14 @@
   CHECK(table.limit_of(kBackend));
 }
 
-TEST_CASE("news of a version that no node can have raised are left alone") {
+TEST_CASE("reports with an invalid version are ignored") {
   LimitTable table;
   CHECK_FALSE(table.merge({kBackend, true, {1000}, 0}, at(1s)));
   CHECK_FALSE(table.merge({kBackend, true, {1000}, ~std::uint64_t{0}}, at(1s)));
   CHECK(table.find(kBackend) == nullptr);
 }
 
-TEST_CASE("a back end that is gone is forgotten") {
+TEST_CASE("a removed back end has no limit") {
   LimitTable table;
   table.note_answer(limited_answer(2, 1s), at(2s));
   CHECK(table.limited_count() == 1);
@@ -86,7 +85,7 @@
   CHECK(table.limited_count() == 0);
 }
 
-TEST_CASE("tables that took the same news know the same, whatever order, however often") {
+TEST_CASE("tables that merge the same reports agree, regardless of order and repetition") {
   CHECK(rc::check([](const std::vector<std::tuple<bool, std::uint8_t, std::uint8_t>>& drawn,
                      const std::vector<std::uint8_t>& again) {
     std::vector<LimitReport> reports;
--- a/src/rate_limit/tests/permit_bucket_test.cc
+++ b/src/rate_limit/tests/permit_bucket_test.cc
@@ -1,4 +1,4 @@
-// How many permits a bucket gives, and to whom.
+// The number of permits a bucket grants, and their recipients.
 #include "rate_limit/permit_bucket.h"
 
 #include <doctest/doctest.h>
@@ -24,7 +24,7 @@
 
 }  // namespace
 
-TEST_CASE("a bucket begins empty, and a denied node is told when there is a token") {
+TEST_CASE("a bucket starts empty, and a denied node gets the time of the next token") {
   PermitBucket bucket({2000}, at(0s));
   const PermitDecision denied = bucket.request_permit(kNode, 1, at(0s));
   CHECK_FALSE(denied.granted);
@@ -33,14 +33,14 @@
   CHECK_FALSE(bucket.request_permit(kNode, 1, at(510ms)).granted);
 }
 
-TEST_CASE("nodes that wait get turns one behind the other") {
+TEST_CASE("waiting nodes are assigned successive times") {
   PermitBucket bucket({4000}, at(0s));
   CHECK(bucket.request_permit(kNode, 1, at(0s)).wait == 250ms);
   CHECK(bucket.request_permit(kOther, 1, at(0s)).wait == 500ms);
   CHECK(bucket.request_permit(kNode, 1, at(0s)).wait == 250ms);
 }
 
-TEST_CASE("the last token is kept for a more urgent request that was denied of late") {
+TEST_CASE("the last token is reserved for a more urgent request that was denied recently") {
   PermitBucket bucket({2000}, at(0s));
   CHECK_FALSE(bucket.request_permit(kOther, gateway::kBegunStreamRank, at(400ms)).granted);
   CHECK_FALSE(bucket.request_permit(kNode, 3, at(600ms)).granted);
@@ -48,7 +48,7 @@
   CHECK(bucket.request_permit(kNode, 3, at(1100ms)).granted);
 }
 
-TEST_CASE("a limit of nothing gives one permit in five seconds") {
+TEST_CASE("a limit of zero grants one permit in five seconds") {
   PermitBucket bucket({0}, at(0s));
   int granted = 0;
   for (Duration now{}; now < 50s; now += 100ms) {
@@ -58,7 +58,7 @@
   CHECK(granted <= 10);
 }
 
-TEST_CASE("a clock that stands still or goes back fills nothing twice") {
+TEST_CASE("a clock that stops or goes backwards does not add tokens twice") {
   PermitBucket bucket({1000}, at(10s));
   CHECK_FALSE(bucket.request_permit(kNode, 1, at(5s)).granted);
   CHECK(bucket.request_permit(kNode, 1, at(11s)).granted);
@@ -66,12 +66,14 @@
   CHECK_FALSE(bucket.request_permit(kNode, 1, at(11s)).granted);
 }
 
-TEST_CASE("no window holds more than the limit allows and one second of it more, while it moves") {
+TEST_CASE(
+    "under changing limits, no window contains more grants than the highest limit allows plus one "
+    "second of it") {
   CHECK(rc::check([](const std::vector<std::uint16_t>& limits, std::uint32_t seed) {
     SeededRandom random(seed);
     PermitBucket bucket({limits.empty() ? 1000U : limits.front()}, at(0s));
     std::vector<MonotonicTime> grants;
-    std::uint64_t highest = 200;  // A limit of nothing is tried all the same.
+    std::uint64_t highest = 200;  // A limit of zero still allows one request in five seconds.
     MonotonicTime now = at(0s);
     for (const std::uint16_t limit : limits) {
       bucket.set_limit({limit}, now);
--- a/src/rate_limit/tests/sharing_comparison_test.cc
+++ b/src/rate_limit/tests/sharing_comparison_test.cc
@@ -1,4 +1,4 @@
-// Three ways to share a back end's rate limit between nodes, compared on the same arrivals.
+// Compares three methods of sharing a back end's rate limit between nodes on the same arrivals.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -20,19 +20,19 @@
 namespace {
 
 constexpr std::size_t kBackends = 3;
-/// From one node to another, and by way of relays.
+/// Message delay from one node to another, and by way of relays.
 constexpr Duration kOneWay = 3ms;
 constexpr Duration kByRelays = 20ms;
 
 struct Load {
   std::size_t nodes = 6;
-  double limit = 2;       ///< Of each server, requests a second.
+  double limit = 2;       ///< Of each back end, requests per second.
   double per_second = 0;  ///< Of all callers.
-  double skew = 0;        ///< Part of the requests that come to the first node.
+  double skew = 0;        ///< Share of the requests that arrive at the first node.
   Duration span = 60s;
 };
 
-/// One way of sharing: whether a node may send one request to a server now.
+/// A method of sharing: decides whether a node may send one request to a back end now.
 class Sharing {
  public:
   virtual ~Sharing() = default;
@@ -40,7 +40,7 @@
   std::uint64_t messages = 0;
 };
 
-/// The coordinator of a server grants permits.
+/// The coordinator of a back end grants permits.
 class Permits final : public Sharing {
  public:
   explicit Permits(const Load& load) {
@@ -64,7 +64,8 @@
   std::map<std::pair<std::size_t, std::size_t>, MonotonicTime> closed_;
 };
 
-/// As many nodes as the limit has requests a second share it evenly, by rendezvous hash.
+/// As many nodes as the limit allows requests per second share it evenly, selected by rendezvous
+/// hash.
 class FewSenders final : public Sharing {
  public:
   explicit FewSenders(const Load& load) {
@@ -93,7 +94,7 @@
   std::map<std::pair<std::size_t, std::size_t>, PermitBucket> buckets_;
 };
 
-/// Each node counts what all have told of the last seconds.
+/// Each node counts the sends that all nodes have broadcast in the last seconds.
 class BroadcastSends final : public Sharing {
  public:
   explicit BroadcastSends(const Load& load)
@@ -127,9 +128,9 @@
 };
 
 struct Outcome {
-  std::size_t max_sends = 0;  ///< In 4 s, at any server.
-  double use = 0;             ///< Of the limits.
-  double messages = 0;        ///< A second and node.
+  std::size_t max_sends = 0;  ///< In 4 s, at any back end.
+  double use = 0;             ///< Share of the limits.
+  double messages = 0;        ///< Per second and node.
 };
 
 Outcome simulate(const Load& load, Sharing& sharing) {
@@ -174,7 +175,7 @@
 
 }  // namespace
 
-TEST_CASE("of three ways to share limits permits alone keep and use them, whatever the fleet") {
+TEST_CASE("permits keep and use the limits for all fleet sizes, limits and skews") {
   for (const std::size_t nodes : {6U, 20U, 100U, 340U}) {
     for (const double limit : {0.7, 1.3, 8.0}) {
       for (const double skew : {0.0, 0.9}) {
@@ -186,11 +187,12 @@
         const Outcome few_senders = simulate<FewSenders>(load);
         const Outcome broadcast = simulate<BroadcastSends>(load);
         MESSAGE("nodes " << nodes << ", limit " << limit << ", skew " << skew
-                         << ": worst 4 s, use, messages a node and second: permits "
+                         << ": maximum sends in 4 s, use, messages per node and second: permits "
                          << permits.max_sends << ", " << permits.use << ", " << permits.messages
                          << "; few senders " << few_senders.max_sends << ", " << few_senders.use
-                         << ", " << few_senders.messages << "; told sends " << broadcast.max_sends
-                         << ", " << broadcast.use << ", " << broadcast.messages);
+                         << ", " << few_senders.messages << "; broadcast sends "
+                         << broadcast.max_sends << ", " << broadcast.use << ", "
+                         << broadcast.messages);
         CHECK(static_cast<double>(permits.max_sends) <= 6 * limit + 5);
         CHECK(permits.use >= 0.8);
       }
--- a/src/rate_limit/types.h
+++ b/src/rate_limit/types.h
@@ -1,4 +1,4 @@
-// What nodes tell each other of back ends' rate limits.
+// Messages between nodes on the rate limits of back ends.
 #pragma once
 
 #include <cstdint>
@@ -10,22 +10,23 @@
 
 namespace ochrespring::rate_limit {
 
-/// What a back end says of a limit in the whole head of an answer.
+/// What the complete head of a back end's answer states about its rate limit.
 struct RateAnswer {
   gateway::BackendId backend;
-  MonotonicTime sent{};  ///< When its request was.
+  MonotonicTime sent{};  ///< When the request was sent.
   gateway::RateStatement statement;
 };
 
-/// What is known of one life of a back end: a limit, or that one has ended. Of two the one of the
-/// higher version is the newer, whoever tells it and in whatever order they come.
+/// The rate limit of one incarnation of a back end, or the end of a limit. Of two reports, the one
+/// with the higher version is the newer, regardless of the sender and the order of arrival.
 struct LimitReport {
   gateway::BackendId backend;
   bool limited = false;
-  gateway::RequestRate rate;  ///< Where there is a limit.
-  std::uint64_t version = 0;  ///< Raised by each node that hears something else from the back end.
+  gateway::RequestRate rate;  ///< If there is a limit.
+  /// Incremented by each node that receives a different limit from the back end.
+  std::uint64_t version = 0;
 
-  /// What the back end says, whoever heard it.
+  /// Returns whether both state the same limit, regardless of the version.
   bool same_limit_as(const LimitReport& other) const {
     return limited == other.limited && (!limited || rate == other.rate);
   }
@@ -39,11 +40,12 @@
   }
 };
 
-/// Asks the coordinator of a limited back end for leave to send one request there.
+/// Requests a permit for one send from the coordinator of a rate-limited back end.
 struct PermitRequest {
   NodeId node;
   Endpoint reply_to;
-  std::uint64_t sequence = 0;  ///< Names the request; not used again by any life of the node.
+  /// Identifies the request; not reused by any incarnation of the node.
+  std::uint64_t sequence = 0;
   gateway::SendRank rank = 0;
   LimitReport known;
 
@@ -61,7 +63,7 @@
   NodeId node;  ///< The coordinator.
   std::uint64_t sequence = 0;
   bool granted = false;
-  Duration wait{};  ///< If not: when to ask again.
+  Duration wait{};  ///< If denied: the time until the next request.
   LimitReport known;
 
   template <class Archive>
