--- a/src/admission_queue/fair_queue.cc
+++ b/src/admission_queue/fair_queue.cc
@@ -134,7 +134,7 @@
   if (items_.empty()) {
     tenants_.clear();
     pass_ = 0;
-  } else if (tenants_.size() > 2 * active_tenants_ + kMinIdleTenants) {
+  } else if (tenants_.size() > 2 * active_tenants_ + kIdleTenantSlack) {
     std::erase_if(tenants_, [&](const auto& entry) {
       return entry.second.waiting == 0 && entry.second.pass <= pass_;
     });
--- a/src/admission_queue/fair_queue.h
+++ b/src/admission_queue/fair_queue.h
@@ -68,7 +68,7 @@
   enum class Band : std::uint8_t { kBegun, kReturned, kNew, kLate };
   static constexpr std::size_t kBands = 4;
   static constexpr std::array kDisplacementOrder{Band::kLate, Band::kNew, Band::kReturned};
-  static constexpr std::size_t kMinIdleTenants = 64;
+  static constexpr std::size_t kIdleTenantSlack = 64;
 
   using ClassKey = std::pair<std::uint32_t, gateway::RouteName>;
   using Order = std::pair<MonotonicTime, Handle>;
--- a/src/admission_queue/tests/queued_request_test.cc
+++ b/src/admission_queue/tests/queued_request_test.cc
@@ -326,10 +326,10 @@
     }
     std::vector<bool> completions;
   } recording;
-  Environment result = environment();
-  result.replicates_resumable = true;
-  result.queue = &recording;
-  Gateway recorded{result, [](auto done) { done(true); }};
+  Environment recorded_environment = environment();
+  recorded_environment.replicates_resumable = true;
+  recorded_environment.queue = &recording;
+  Gateway recorded{recorded_environment, [](auto done) { done(true); }};
   const auto caller = begin_stream(recorded);
   last().fail(http::HttpErrc::kReset, true);
   REQUIRE(sends() == 2);
--- a/src/engine_profiles/engine_profile_table.cc
+++ b/src/engine_profiles/engine_profile_table.cc
@@ -25,8 +25,9 @@
 constexpr double kDiscountedSamples = 2;
 /// An engine whose samples have a lower total weight does not count in the median of its service.
 constexpr double kMinMedianWeight = 0.5;
-/// Values are rejected if they are this many times above or below the median of the service...
-constexpr double kMaxMedianRatio = 100;
+/// Paces are rejected if they are this many times above or below 1, and values if they are this
+/// many times above or below the median of the service...
+constexpr double kMaxPlausibleRatio = 100;
 /// ...provided that the median is based on at least this many engines. Otherwise a wrong first
 /// value would cause all correct ones to be rejected.
 constexpr std::size_t kMinEnginesForRatioCheck = 3;
@@ -174,7 +175,7 @@
     return;
   }
   const double pace = percent / kPercent;
-  if (pace < 1 / kMaxMedianRatio || pace > kMaxMedianRatio) {
+  if (pace < 1 / kMaxPlausibleRatio || pace > kMaxPlausibleRatio) {
     ++statistics_.rejected;
     return;
   }
@@ -249,7 +250,7 @@
     return true;
   }
   const double median = known->summaries[i].median;
-  return value < kMaxMedianRatio * median && value > median / kMaxMedianRatio;
+  return value < kMaxPlausibleRatio * median && value > median / kMaxPlausibleRatio;
 }
 
 void EngineProfileTable::add_sample(const gateway::Backend& engine, Quantity quantity, double value,
--- a/src/engine_profiles/engine_profile_table.h
+++ b/src/engine_profiles/engine_profile_table.h
@@ -90,8 +90,8 @@
     std::array<RecentSamples, kQuantityCount> own;
     std::array<Estimate, kQuantityCount> reported;  ///< By other nodes.
     PaceHistory paces;
-    std::array<std::uint8_t, kQuantityCount>
-        unreported{};  ///< Number of own samples not yet reported to other nodes.
+    /// Number of own samples not yet reported to other nodes.
+    std::array<std::uint8_t, kQuantityCount> unreported{};
     LongStreams long_streams;
   };
   /// Distribution of one quantity over the measured engines of a service; each engine counts once,
