--- a/src/discovery/view_writer.cc
+++ b/src/discovery/view_writer.cc
@@ -68,7 +68,7 @@
 bool ViewWriter::enter_era(shared_store::StoreRevision revision) {
   const bool later = seen_revision_ && revision.era() > seen_revision_->era();
   if (later) {
-    fleet_.doubt_gone(clock_.now() + kDoubtPeriod);
+    fleet_.distrust_removed(clock_.now() + kDoubtPeriod);
   }
   return later;
 }
@@ -285,7 +285,7 @@
 void ViewWriter::apply_backend_entry(const shared_store::Change& change) {
   const std::string name = change.key.substr(codec_.layout().backend_prefix.size());
   auto backend = change.value ? entries_.read_backend(change) : std::nullopt;
-  for (const gateway::BackendId& known : fleet_.lives_of(name)) {
+  for (const gateway::BackendId& known : fleet_.incarnations_of(name)) {
     if (!backend || backend->id != known) {
       apply(BackendChange{change.revision, known, std::nullopt});
     }
--- a/src/engine_profiles/types.h
+++ b/src/engine_profiles/types.h
@@ -1,4 +1,4 @@
-// What nodes tell each other of the speed of engines.
+// Messages between nodes on the speed of engines.
 #pragma once
 
 #include <cstdint>
@@ -10,28 +10,29 @@
 
 namespace ochrespring::engine_profiles {
 
-/// Undisturbed time per token, and how many new samples speak for it; 0 samples: nothing is told.
-struct ToldSpeed {
-  Duration token{};
+/// The undisturbed time per token and the number of new samples behind it; 0 samples: no value is
+/// reported.
+struct ReportedSpeed {
+  Duration time_per_token{};
   std::uint32_t samples = 0;
 
-  bool operator==(const ToldSpeed&) const = default;
+  bool operator==(const ReportedSpeed&) const = default;
 
   template <class Archive>
   void serialize(Archive& archive, unsigned /*version*/) {
-    archive& token;
+    archive& time_per_token;
     archive& samples;
   }
 };
 
-/// One engine as one node knows it.
-struct EngineNews {
+/// What one node knows about one engine.
+struct EngineProfileReport {
   gateway::BackendId engine;
-  ToldSpeed output{};
-  ToldSpeed prompt{};
-  std::uint32_t long_streams = 0;  ///< Of the node's own callers, now.
+  ReportedSpeed output{};
+  ReportedSpeed prompt{};
+  std::uint32_t long_streams = 0;  ///< Current number, for the sender's own callers.
 
-  bool operator==(const EngineNews&) const = default;
+  bool operator==(const EngineProfileReport&) const = default;
 
   template <class Archive>
   void serialize(Archive& archive, unsigned /*version*/) {
@@ -42,29 +43,29 @@
   }
 };
 
-/// One datagram. Values are absolute: what is lost is replaced by the next one.
-struct ProfileNews {
+/// A report in one datagram. Values are absolute, so that the next report replaces a lost one.
+struct ProfileReport {
   NodeId node;
-  std::uint64_t life = 0;      ///< Drawn at the sender's start.
-  std::uint64_t sequence = 0;  ///< Rises within one life.
-  std::vector<EngineNews> engines;
+  std::uint64_t incarnation = 0;  ///< Random, drawn when the sender starts.
+  std::uint64_t sequence = 0;     ///< Increases within one incarnation.
+  std::vector<EngineProfileReport> engines;
 
   template <class Archive>
   void serialize(Archive& archive, unsigned /*version*/) {
     archive& node;
-    archive& life;
+    archive& incarnation;
     archive& sequence;
     archive& engines;
   }
 };
 
-/// News of several nodes, from a relay.
-struct RelayedProfileNews {
-  std::vector<ProfileNews> news;
+/// Reports of several nodes, forwarded by a relay.
+struct RelayedProfileReports {
+  std::vector<ProfileReport> reports;
 
   template <class Archive>
   void serialize(Archive& archive, unsigned /*version*/) {
-    archive& news;
+    archive& reports;
   }
 };
 
--- a/src/gateway/backend_index.cc
+++ b/src/gateway/backend_index.cc
@@ -16,8 +16,8 @@
 
 }  // namespace
 
-const Backend* first_by_weight(const std::vector<const Backend*>& backends, std::string_view key,
-                               const std::function<bool(const Backend&)>& accept) {
+const Backend* rendezvous_choice(const std::vector<const Backend*>& backends, std::string_view key,
+                                 const std::function<bool(const Backend&)>& accept) {
   const Backend* best = nullptr;
   std::uint64_t best_weight = 0;
   for (const Backend* backend : backends) {
@@ -54,7 +54,7 @@
   auto unordered = order.begin();
   for (; unordered != order.end(); ++unordered) {
     std::iter_swap(unordered, std::max_element(unordered, order.end()));
-    if (const Backend* found = first_by_weight(parts_[unordered->second], key, accept)) {
+    if (const Backend* found = rendezvous_choice(parts_[unordered->second], key, accept)) {
       return found;
     }
   }
--- a/src/gateway/backend_index.h
+++ b/src/gateway/backend_index.h
@@ -15,8 +15,8 @@
 namespace ochrespring::gateway {
 
 /// The one of highest rendezvous weight for `key` among those that are accepted, or null.
-const Backend* first_by_weight(const std::vector<const Backend*>& backends, std::string_view key,
-                               const std::function<bool(const Backend&)>& accept);
+const Backend* rendezvous_choice(const std::vector<const Backend*>& backends, std::string_view key,
+                                 const std::function<bool(const Backend&)>& accept);
 
 /// The back ends of one service that do the same: read prompts for others, or run requests.
 class BackendGroup {
--- a/src/gateway/candidates.cc
+++ b/src/gateway/candidates.cc
@@ -28,7 +28,7 @@
 bool CandidateFinder::left_alone(const Backend& backend, MonotonicTime now) const {
   const BackendLoad* load = loads_.find(backend.id);
   const bool avoided = load != nullptr && (load->ejected(now) || load->mostly_refuses(now));
-  return avoided || fleet_.is_doubted(backend.id, now);
+  return avoided || fleet_.is_distrusted(backend.id, now);
 }
 
 bool CandidateFinder::may_take(const Backend& backend, const Query& query,
@@ -51,8 +51,8 @@
   }
   Candidates chosen = healthy.backends.empty() ? std::move(others) : std::move(healthy);
   if (!shared_key(query).empty()) {
-    chosen.home = first_by_weight(chosen.backends, shared_key(query),
-                                  [](const Backend& /*any*/) { return true; });
+    chosen.home = rendezvous_choice(chosen.backends, shared_key(query),
+                                    [](const Backend& /*any*/) { return true; });
   }
   return chosen;
 }
--- a/src/gateway/fleet_state.cc
+++ b/src/gateway/fleet_state.cc
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-#include "gateway/backend_life.h"
+#include "gateway/backend_incarnation.h"
 
 namespace ochrespring::gateway {
 
@@ -66,7 +66,7 @@
   }
 }
 
-void FleetState::doubt_gone(MonotonicTime until) {
+void FleetState::distrust_removed(MonotonicTime until) {
   doubted_ = std::exchange(gone_, {});
   doubted_until_ = until;
 }
@@ -108,15 +108,15 @@
   std::erase_if(leaving_, [this](const BackendId& old) { return !backends_.contains(old); });
 }
 
-std::vector<BackendId> FleetState::lives_of(std::string_view name) const {
+std::vector<BackendId> FleetState::incarnations_of(std::string_view name) const {
   std::vector<BackendId> lives;
   const BackendId plain{std::string(name)};
-  if (backends_.contains(plain) && name_of(plain) == name) {
+  if (backends_.contains(plain) && backend_name(plain) == name) {
     lives.push_back(plain);
   }
   for (auto found = backends_.lower_bound(BackendId(plain.value() + '@'));
        found != backends_.end() && found->first.value().starts_with(plain.value() + '@'); ++found) {
-    if (name_of(found->first) == name) {
+    if (backend_name(found->first) == name) {
       lives.push_back(found->first);
     }
   }
--- a/src/gateway/fleet_state.h
+++ b/src/gateway/fleet_state.h
@@ -34,7 +34,7 @@
   const std::map<BackendId, Backend>& backends() const { return backends_; }
   const Backend* find(const BackendId& id) const;
   /// The lives that are known of a back end: mostly one.
-  std::vector<BackendId> lives_of(std::string_view name) const;
+  std::vector<BackendId> incarnations_of(std::string_view name) const;
   /// Whether a back end has said that it leaves. In its life that is final: where the store says
   /// otherwise later, an older copy of it or an overtaken write has undone it, and a back end that
   /// leaves must get nothing new.
@@ -48,9 +48,9 @@
   const std::set<BackendId>& leaving() const { return leaving_; }
   /// The store has been set back: until `until` back ends that had gone are doubted where it shows
   /// them, for its copy may be older than their end.
-  void doubt_gone(MonotonicTime until);
+  void distrust_removed(MonotonicTime until);
   /// Whether a back end may be one that has gone: not to be used while there are others.
-  bool is_doubted(const BackendId& id, MonotonicTime now) const {
+  bool is_distrusted(const BackendId& id, MonotonicTime now) const {
     return now < doubted_until_ && doubted_.contains(id);
   }
   const BackendIndex& index() const { return index_; }
--- a/src/gateway/pause_forecast.cc
+++ b/src/gateway/gap_forecast.cc
@@ -1,4 +1,4 @@
-#include "gateway/pause_forecast.h"
+#include "gateway/gap_forecast.h"
 
 #include <algorithm>
 #include <cmath>
@@ -26,21 +26,21 @@
 
 }  // namespace
 
-Duration PauseForecast::event_time(double unread_tokens) const {
+Duration GapForecast::event_time(double unread_tokens) const {
   const Duration generating = engine_.profile.output_token * tokens_per_event_;
   const double reading = kReadingBeside * unread_tokens * to_seconds(engine_.profile.prompt_token);
   return generating + from_seconds(reading);
 }
 
-double PauseForecast::usually_late(Duration event, Duration gap) const {
+double GapForecast::usually_late(Duration event, Duration gap) const {
   return profiles_.share_slower_than(engine_.service, kSurelyLate / to_share(event, gap), now_);
 }
 
-bool PauseForecast::suits_long_streams(Duration gap) const {
+bool GapForecast::suits_long_streams(Duration gap) const {
   return usually_late(event_time(0), gap) < kRarelyLate;
 }
 
-double PauseForecast::late_pause(Duration gap, double unread_tokens) const {
+double GapForecast::late_gap_probability(Duration gap, double unread_tokens) const {
   const Duration event = event_time(unread_tokens);
   const double now = engine_.pace.factor * to_share(event, gap);
   const double late_now =
@@ -49,14 +49,15 @@
   return weight * late_now + (1 - weight) * usually_late(event, gap);
 }
 
-double PauseForecast::late_stream(const StreamNeeds& needs, double unread_tokens) const {
+double GapForecast::late_stream(const StreamRequirements& needs, double unread_tokens) const {
   const double pauses = std::max(0.0, needs.expected_events - 1);
-  const double at_first = std::min(1.0, pauses) * late_pause(needs.target_gap, unread_tokens);
+  const double at_first =
+      std::min(1.0, pauses) * late_gap_probability(needs.target_gap, unread_tokens);
   const double later = 1 - std::pow(1 - usually_late(event_time(0), needs.target_gap), pauses);
   return 1 - (1 - at_first) * (1 - later);
 }
 
-double PauseForecast::unfinished_stream(const StreamNeeds& needs) const {
+double GapForecast::unfinished_stream(const StreamRequirements& needs) const {
   const double event = to_seconds(event_time(0));
   const double left = std::max(to_seconds(needs.time_left), 0.0);
   if (needs.most_events * event < left) {
--- a/src/gateway/load_table.cc
+++ b/src/gateway/load_table.cc
@@ -80,35 +80,35 @@
   unread_tokens_ += unread_tokens;
 }
 
-void BackendLoad::note_read(std::uint64_t unread_tokens) {
+void BackendLoad::note_prefilled(std::uint64_t unread_tokens) {
   unread_tokens_ -= std::min(unread_tokens, unread_tokens_);
 }
 
-void BackendLoad::end(AttemptVerdict verdict, MonotonicTime now) {
+void BackendLoad::end(AttemptOutcome verdict, MonotonicTime now) {
   in_flight_ -= std::min<std::uint32_t>(in_flight_, 1);
   fade(now);
   switch (verdict) {
-    case AttemptVerdict::kGood:
+    case AttemptOutcome::kSucceeded:
       count_ends(1, 0);
       answered_at_ = now;
       unreachable_in_row_ = 0;
       break;
-    case AttemptVerdict::kFailed:
+    case AttemptOutcome::kFailed:
       count_ends(1, 1);
       break;
-    case AttemptVerdict::kUnreachable:
+    case AttemptOutcome::kUnreachable:
       count_ends(1, 1);
       note_silence(now);
       break;
-    case AttemptVerdict::kReplaced:
+    case AttemptOutcome::kReplaced:
       ejected_until_ = now + kUntilForgotten;
       replaced_until_ = ejected_until_;
       break;
-    case AttemptVerdict::kRefused:
+    case AttemptOutcome::kRefused:
       refusals_ = std::min(refusals_ + 1, kMostAttempts);
       break;
-    case AttemptVerdict::kNotSent:
-    case AttemptVerdict::kAbandoned:
+    case AttemptOutcome::kNotSent:
+    case AttemptOutcome::kAbandoned:
       break;
   }
 }
@@ -118,7 +118,7 @@
   ++unreachable_in_row_;
 }
 
-void BackendLoad::note_told_silence(MonotonicTime now) {
+void BackendLoad::note_peer_unresponsive(MonotonicTime now) {
   if (!answered_at_ || now - *answered_at_ > kRecentAnswer) {
     ejected_until_ = std::max(ejected_until_, now + kFirstEjection);
   }
@@ -172,7 +172,7 @@
   return std::max(told, own_refusal_share(now));
 }
 
-void BackendLoad::note_told_ends(std::uint32_t ended, std::uint32_t failed, MonotonicTime now) {
+void BackendLoad::note_peer_outcomes(std::uint32_t ended, std::uint32_t failed, MonotonicTime now) {
   fade(now);
   count_ends(ended, std::min(ended, failed));
 }
@@ -230,7 +230,7 @@
   }
 }
 
-std::vector<std::uint64_t> BackendLoad::held_parts(MonotonicTime now) const {
+std::vector<std::uint64_t> BackendLoad::cached_part_keys(MonotonicTime now) const {
   std::vector<std::uint64_t> keys;
   for (const auto& [key, part] : cached_) {
     if (believed(part, kCacheBelief, now)) {
@@ -294,7 +294,7 @@
   holders_.clear();
   holder_entries_ = 0;
   for (const auto& [holder, load] : loads_) {
-    for (const std::uint64_t key : load.held_parts(now)) {
+    for (const std::uint64_t key : load.cached_part_keys(now)) {
       holders_[key].push_back(holder);
       ++holder_entries_;
     }
@@ -327,25 +327,25 @@
   changed(id);
 }
 
-void LoadTable::note_read(const BackendId& id, std::uint64_t unread_tokens) {
+void LoadTable::note_prefilled(const BackendId& id, std::uint64_t unread_tokens) {
   BackendLoad* load = known(id);
   if (load != nullptr && unread_tokens != 0) {
-    load->note_read(unread_tokens);
+    load->note_prefilled(unread_tokens);
     changed(id);
   }
 }
 
-void LoadTable::end(const BackendId& id, AttemptVerdict verdict, MonotonicTime now) {
+void LoadTable::end(const BackendId& id, AttemptOutcome verdict, MonotonicTime now) {
   BackendLoad* load = known(id);
   if (load == nullptr) {
     return;
   }
   load->end(verdict, now);
-  if (ended_ && (verdict == AttemptVerdict::kGood || verdict == AttemptVerdict::kFailed)) {
-    ended_(id, verdict == AttemptVerdict::kFailed);
+  if (ended_ && (verdict == AttemptOutcome::kSucceeded || verdict == AttemptOutcome::kFailed)) {
+    ended_(id, verdict == AttemptOutcome::kFailed);
   }
   changed(id);
-  const bool gone = verdict == AttemptVerdict::kUnreachable || verdict == AttemptVerdict::kReplaced;
+  const bool gone = verdict == AttemptOutcome::kUnreachable || verdict == AttemptOutcome::kReplaced;
   if (gone && silent_) {
     silent_(id);
   }
--- a/src/gateway/load_table.h
+++ b/src/gateway/load_table.h
@@ -39,7 +39,7 @@
 };
 
 /// How an attempt ended, as far as the back end's health goes.
-enum class AttemptVerdict : std::uint8_t {
+enum class AttemptOutcome : std::uint8_t {
   kGood,
   kRefused,      ///< Said itself that it did not run the request.
   kFailed,       ///< Broke off, answered garbage or with a failure, or was silent for too long.
@@ -54,8 +54,8 @@
  public:
   void begin(std::uint64_t unread_tokens);
   /// The prompt has been read: the first event came, or the attempt has ended.
-  void note_read(std::uint64_t unread_tokens);
-  void end(AttemptVerdict verdict, MonotonicTime now);
+  void note_prefilled(std::uint64_t unread_tokens);
+  void end(AttemptOutcome verdict, MonotonicTime now);
   /// The back end has stopped to acknowledge what is sent to it: it is left alone for a while.
   void note_silence(MonotonicTime now);
   void note_report(const ReportedLoad& load, MonotonicTime now);
@@ -71,20 +71,20 @@
   /// Share of recent attempts that failed, fading with time, 0 to 1.
   double failure_share(MonotonicTime now) const;
   /// Other nodes' attempts ended, so many of them in failure; counted like this node's own.
-  void note_told_ends(std::uint32_t ended, std::uint32_t failed, MonotonicTime now);
+  void note_peer_outcomes(std::uint32_t ended, std::uint32_t failed, MonotonicTime now);
   /// Share of recent requests that the back end turned away, fading with time, 0 to 1; at least
   /// kToldPauseShare while another node has been asked to send it nothing.
   double refusal_share(MonotonicTime now) const;
   /// Whether this node's requests are mostly turned away there: taken only if there is no other.
   bool mostly_refuses(MonotonicTime now) const { return own_refusal_share(now) >= kMostRefusals; }
   /// The back end has asked another node to send it nothing until then.
-  void note_told_pause(MonotonicTime until) {
+  void note_peer_backoff(MonotonicTime until) {
     told_pause_until_ = std::max(told_pause_until_, until);
   }
-  MonotonicTime told_pause_until() const { return told_pause_until_; }
+  MonotonicTime peer_backoff_until() const { return told_pause_until_; }
   /// Another node says that the back end is silent. Believed unless it has just answered this one:
   /// it may be the other's own link.
-  void note_told_silence(MonotonicTime now);
+  void note_peer_unresponsive(MonotonicTime now);
   /// Whether the back end is left alone for now.
   bool ejected(MonotonicTime now) const { return now < ejected_until_; }
   /// Whether another back end has its address: it has ended, and what is sent there works for
@@ -101,7 +101,7 @@
   std::optional<MonotonicTime> ready_part(std::uint64_t part_key, MonotonicTime now) const;
 
   /// All that `holds` now.
-  std::vector<std::uint64_t> held_parts(MonotonicTime now) const;
+  std::vector<std::uint64_t> cached_part_keys(MonotonicTime now) const;
   std::size_t cached_parts() const { return cached_.size(); }
 
  private:
@@ -151,13 +151,15 @@
   /// The same as of the back end's load, and told to whoever listens to changes. A back end that
   /// was forgotten while a request ran there stays forgotten.
   void begin(const BackendId& id, std::uint64_t unread_tokens);
-  void note_read(const BackendId& id, std::uint64_t unread_tokens);
-  void end(const BackendId& id, AttemptVerdict verdict, MonotonicTime now);
+  void note_prefilled(const BackendId& id, std::uint64_t unread_tokens);
+  void end(const BackendId& id, AttemptOutcome verdict, MonotonicTime now);
   void note_report(const BackendId& id, const ReportedLoad& load, MonotonicTime now);
 
   void note_silence(const BackendId& id, MonotonicTime now);
   /// Called when a back end has fallen silent or could not be reached.
-  void on_silence(std::function<void(const BackendId&)> callback) { silent_ = std::move(callback); }
+  void on_unresponsive(std::function<void(const BackendId&)> callback) {
+    silent_ = std::move(callback);
+  }
 
   /// Remembers the parts of a prompt that a back end reads now.
   void note_prompt(const BackendId& id, const Prompt& prompt, MonotonicTime now);
--- a/src/gateway/placement.cc
+++ b/src/gateway/placement.cc
@@ -88,7 +88,7 @@
   if (request.prompt != nullptr && !finder_.walks_all()) {
     query.holders = finder_.holders(*request.prompt, now);
   }
-  if (request.where_least_runs) {
+  if (request.fewest_requests_only) {
     PlacementPlan plan;
     plan.runner = cheapest(finder_.find(query, false, now).backends, [&](const Backend& backend) {
       return PlacementChoice{.cost = 1 + work_at(backend, now).requests};
@@ -121,7 +121,7 @@
   direct.runner = cheapest(runners.backends, [&](const Backend& backend) {
     return estimate_runner(backend, at_runners, nullptr, now);
   });
-  if (!request.may_read_apart || direct.runner.backend == nullptr) {
+  if (!request.allow_separate_prefill || direct.runner.backend == nullptr) {
     return direct;
   }
   const Candidates readers = finder_.find(query, true, now);
@@ -152,11 +152,11 @@
   };
   const auto is_read = [&](const Backend* backend) {
     const std::uint64_t tokens =
-        plan.reader.backend != nullptr ? plan.reader.unread_tokens : plan.runner.unread_tokens;
+        plan.prefill.backend != nullptr ? plan.prefill.unread_tokens : plan.runner.unread_tokens;
     return reads_in_time(*backend, tokens, query, now);
   };
   const Backend* reader =
-      plan.reader.backend != nullptr ? plan.reader.backend : plan.runner.backend;
+      plan.prefill.backend != nullptr ? plan.prefill.backend : plan.runner.backend;
   if (has_slot(plan.runner.backend) && (!engine || is_read(reader))) {
     return true;
   }
@@ -173,7 +173,7 @@
     return true;
   }
   const Backends readers =
-      request.may_read_apart ? finder_.find(candidates, true, now).backends : Backends();
+      request.allow_separate_prefill ? finder_.find(candidates, true, now).backends : Backends();
   return std::any_of(runners.begin(), runners.end(), has_slot) &&
          std::any_of(readers.begin(), readers.end(), is_read);
 }
@@ -279,15 +279,15 @@
   return std::abs(speed - 1) < kSpeedNoise ? 1 : speed;
 }
 
-std::optional<PauseForecast> Placement::forecast_at(const Backend& backend,
-                                                    const PlacementRequest& request,
-                                                    MonotonicTime now) const {
+std::optional<GapForecast> Placement::forecast_at(const Backend& backend,
+                                                  const PlacementRequest& request,
+                                                  MonotonicTime now) const {
   const auto profile =
       profiles_ != nullptr && request.stream ? profiles_->find(backend, now) : std::nullopt;
   if (!profile) {
     return std::nullopt;
   }
-  return PauseForecast(
+  return GapForecast(
       *profiles_,
       {.service = request.service, .profile = *profile, .pace = load_of(backend).pace(now)},
       request.stream->tokens_per_event, now);
@@ -308,15 +308,15 @@
   if (!known) {
     return 0;
   }
-  const PauseForecast& forecast = *known;
+  const GapForecast& forecast = *known;
   const EngineProfile& profile = forecast.profile();
-  const StreamNeeds& needs = *view.request.stream;
+  const StreamRequirements& needs = *view.request.stream;
   const double unread = work.unread_tokens;
   const double made_late =
-      unread_tokens == 0
-          ? 0
-          : forecast.late_pause(needs.shortest_gap, unread + static_cast<double>(unread_tokens)) -
-                forecast.late_pause(needs.shortest_gap, unread);
+      unread_tokens == 0 ? 0
+                         : forecast.late_gap_probability(
+                               needs.shortest_gap, unread + static_cast<double>(unread_tokens)) -
+                               forecast.late_gap_probability(needs.shortest_gap, unread);
   return kTokensPerLateStream * forecast.late_stream(needs, unread) +
          kTokensPerFailure * forecast.unfinished_stream(needs) +
          kTokensPerLateStream * profile.long_streams * std::max(0.0, made_late) +
@@ -326,8 +326,8 @@
 
 /// While few slots are taken a short stream is gone before they are needed.
 double Placement::scarce_slot_cost(const Backend& backend, const PromptView& view, const Work& work,
-                                   const PauseForecast& forecast) const {
-  const StreamNeeds& needs = *view.request.stream;
+                                   const GapForecast& forecast) const {
+  const StreamRequirements& needs = *view.request.stream;
   if (view.unsuited_share == 0 || needs.expected_events >= kLeastLongEvents ||
       !forecast.suits_long_streams(needs.shortest_gap)) {
     return 0;
@@ -338,7 +338,7 @@
 
 /// Long streams keep their slots for seconds.
 double Placement::slot_cost(const Backend& backend, const Work& work, const EngineProfile& profile,
-                            const PauseForecast& forecast) const {
+                            const GapForecast& forecast) const {
   const double over = work.requests + 1 - std::max<double>(backend.slots, 1);
   if (over <= 0 || profile.prompt_token.count() == 0) {
     return 0;
--- a/src/gateway/placement.h
+++ b/src/gateway/placement.h
@@ -15,8 +15,8 @@
 #include "gateway/candidates.h"
 #include "gateway/engine_profiles.h"
 #include "gateway/fleet_state.h"
+#include "gateway/gap_forecast.h"
 #include "gateway/load_table.h"
-#include "gateway/pause_forecast.h"
 #include "gateway/prompt.h"
 #include "gateway/types.h"
 
@@ -25,14 +25,15 @@
 /// What is to be placed.
 struct PlacementRequest {
   ServiceName service;
-  const Prompt* prompt = nullptr;  ///< Null: an ordinary request.
-  bool may_read_apart = true;      ///< Whether a prefill engine may read the prompt first.
-  std::set<BackendId> avoid;       ///< Already tried.
-  const SendGate* gate = nullptr;  ///< Null: all back ends have room.
+  const Prompt* prompt = nullptr;      ///< Null: an ordinary request.
+  bool allow_separate_prefill = true;  ///< Whether a prefill engine may read the prompt first.
+  std::set<BackendId> avoid;           ///< Already tried.
+  const SendGate* gate = nullptr;      ///< Null: all back ends have room.
   /// Of a stream at engines whose events are known to hold some tokens; none: pauses and ends are
   /// not predicted.
-  std::optional<StreamNeeds> stream;
-  bool where_least_runs = false;  ///< Whatever it costs: the back end may end under the request.
+  std::optional<StreamRequirements> stream;
+  bool fewest_requests_only =
+      false;  ///< Whatever it costs: the back end may end under the request.
   /// Whether a back end is reached without a new connection; null: all are.
   std::function<bool(const Backend&)> connected;
 };
@@ -130,13 +131,13 @@
                      std::uint64_t unread_tokens, MonotonicTime now) const;
   /// What a short stream takes from long ones by a slot where these would stay in time.
   double scarce_slot_cost(const Backend& backend, const PromptView& view, const Work& work,
-                          const PauseForecast& forecast) const;
-  std::optional<PauseForecast> forecast_at(const Backend& backend, const PlacementRequest& request,
-                                           MonotonicTime now) const;
+                          const GapForecast& forecast) const;
+  std::optional<GapForecast> forecast_at(const Backend& backend, const PlacementRequest& request,
+                                         MonotonicTime now) const;
   double unsuited_share(const Backends& engines, const PlacementRequest& request,
                         MonotonicTime now) const;
   double slot_cost(const Backend& backend, const Work& work, const EngineProfile& profile,
-                   const PauseForecast& forecast) const;
+                   const GapForecast& forecast) const;
 
   template <class Estimate>
   PlacementChoice cheapest(const Backends& backends, const Estimate& estimate) const;
--- a/src/gateway/prompt_cache.cc
+++ b/src/gateway/prompt_cache.cc
@@ -10,11 +10,11 @@
 
 }  // namespace
 
-void PromptCache::note_end(AttemptVerdict verdict) {
-  if (verdict == AttemptVerdict::kRefused) {
+void PromptCache::note_end(AttemptOutcome verdict) {
+  if (verdict == AttemptOutcome::kRefused) {
     release();
-  } else if (verdict != AttemptVerdict::kUnreachable && verdict != AttemptVerdict::kNotSent &&
-             verdict != AttemptVerdict::kReplaced) {
+  } else if (verdict != AttemptOutcome::kUnreachable && verdict != AttemptOutcome::kNotSent &&
+             verdict != AttemptOutcome::kReplaced) {
     // Taken: a handle serves once.
     handle_.reset();
   }
@@ -25,7 +25,7 @@
     return;
   }
   if (environment_.gate != nullptr &&
-      environment_.gate->is_paused(handle_->engine, environment_.clock.now())) {
+      environment_.gate->is_backing_off(handle_->engine, environment_.clock.now())) {
     // It lapses by itself.
     handle_.reset();
     return;
--- a/src/gateway/prompt_cache.h
+++ b/src/gateway/prompt_cache.h
@@ -21,7 +21,7 @@
   bool held() const { return handle_.has_value(); }
   const std::optional<CacheHandle>& handle() const { return handle_; }
   /// An attempt that was offered the cache has ended: it may have been taken, or be offered again.
-  void note_end(AttemptVerdict verdict);
+  void note_end(AttemptOutcome verdict);
   /// Frees a cache that nobody will take.
   void release();
 
--- a/src/gateway/route_table.cc
+++ b/src/gateway/route_table.cc
@@ -42,7 +42,7 @@
   }
 }
 
-Duration RouteTable::shortest_gap(const ServiceName& service) const {
+Duration RouteTable::min_target_gap(const ServiceName& service) const {
   const auto found = shortest_gaps_.find(service);
   return found == shortest_gaps_.end() ? std::chrono::hours(24) : found->second;
 }
--- a/src/gateway/route_table.h
+++ b/src/gateway/route_table.h
@@ -33,7 +33,7 @@
   bool has_tenants() const { return !configuration_.tenants.empty(); }
   const Configuration& configuration() const { return configuration_; }
   /// The shortest target gap of all streams that may run at the service; a day without any.
-  Duration shortest_gap(const ServiceName& service) const;
+  Duration min_target_gap(const ServiceName& service) const;
 
  private:
   Configuration configuration_;
--- a/src/gateway/tests/played_profiles.h
+++ b/src/gateway/tests/fake_profiles.h
@@ -9,7 +9,7 @@
 namespace ochrespring::gateway::testing {
 
 /// Engines without a profile of their own have the usual one.
-class PlayedProfiles final : public EngineProfiles {
+class FakeProfiles final : public EngineProfiles {
  public:
   std::optional<EngineProfile> find(const Backend& engine, MonotonicTime now) const override {
     const auto own = own_profiles.find(engine.id);
--- a/src/gateway/tests/pause_forecast_test.cc
+++ b/src/gateway/tests/gap_forecast_test.cc
@@ -1,18 +1,18 @@
 // Streams ran late on engines that were slow, disturbed, or read prompts beside them, though their
 // first events came early.
-#include "gateway/pause_forecast.h"
+#include "gateway/gap_forecast.h"
 
 #include <doctest/doctest.h>
 
 #include <chrono>
 
 #include "gateway/placement.h"
-#include "tests/played_profiles.h"
+#include "tests/fake_profiles.h"
 
 using namespace ochrespring;
 using namespace ochrespring::gateway;
 using namespace std::chrono_literals;
-using gateway::testing::PlayedProfiles;
+using gateway::testing::FakeProfiles;
 
 namespace {
 
@@ -27,17 +27,17 @@
 const EngineProfile kUsual = make_profile(533us, 2500ns);
 const EngineProfile kSlow = make_profile(1200us, 5600ns);
 
-StreamNeeds long_stream() {
+StreamRequirements long_stream() {
   return {.target_gap = 150ms,
-          .shortest_gap = 150ms,
+          .min_target_gap = 150ms,
           .time_left = 15s,
           .tokens_per_event = 75,
           .expected_events = 72,
           .most_events = 170};
 }
 
-StreamNeeds short_stream() {
-  StreamNeeds needs = long_stream();
+StreamRequirements short_stream() {
+  StreamRequirements needs = long_stream();
   needs.expected_events = 2;
   needs.most_events = 6;
   needs.time_left = 2s;
@@ -50,7 +50,7 @@
     profiles.disturbed_share = 0.15;
     profiles.disturbed_factor = 2.5;
   }
-  PauseForecast forecast(const EngineProfile& profile, const ReportedPace& pace = {}) const {
+  GapForecast forecast(const EngineProfile& profile, const ReportedPace& pace = {}) const {
     return {profiles, {.service = kService, .profile = profile, .pace = pace}, 75, {}};
   }
   void put(const std::string& id, const EngineProfile& profile) {
@@ -62,7 +62,7 @@
     fleet.put(engine);
     profiles.own_profiles[engine.id] = profile;
   }
-  std::string choose(const StreamNeeds& needs, std::uint64_t tokens) {
+  std::string choose(const StreamRequirements& needs, std::uint64_t tokens) {
     const Prompt prompt = parse_prompt("own:" + std::to_string(tokens), "");
     const Placement placement(fleet, loads, random, ZoneName("z"), &profiles);
     PlacementRequest request;
@@ -72,7 +72,7 @@
     return placement.choose(request, {}).runner.backend->id.value();
   }
 
-  PlayedProfiles profiles;
+  FakeProfiles profiles;
   FleetState fleet;
   LoadTable loads;
   SeededRandom random{7};
@@ -92,18 +92,18 @@
   const World world;
   const ReportedPace disturbed{.factor = 2.5, .weight = 1};
   const ReportedPace usual{.factor = 1, .weight = 1};
-  CHECK(world.forecast(kUsual, usual).late_pause(150ms, 10'000) == 0);
-  CHECK(world.forecast(kUsual, usual).late_pause(150ms, 30'000) == 1);
-  CHECK(world.forecast(kUsual, disturbed).late_pause(150ms, 0) == 0);
-  CHECK(world.forecast(kUsual, disturbed).late_pause(150ms, 10'000) == 1);
+  CHECK(world.forecast(kUsual, usual).late_gap_probability(150ms, 10'000) == 0);
+  CHECK(world.forecast(kUsual, usual).late_gap_probability(150ms, 30'000) == 1);
+  CHECK(world.forecast(kUsual, disturbed).late_gap_probability(150ms, 0) == 0);
+  CHECK(world.forecast(kUsual, disturbed).late_gap_probability(150ms, 10'000) == 1);
   // Nothing is known of now: what holds for all time.
-  CHECK(world.forecast(kUsual).late_pause(150ms, 10'000) == doctest::Approx(0.15));
+  CHECK(world.forecast(kUsual).late_gap_probability(150ms, 10'000) == doctest::Approx(0.15));
 }
 
 TEST_CASE("a stream that is not expected to end in time is told from one that is") {
   const World world;
   CHECK(world.forecast(kUsual).unfinished_stream(long_stream()) == 0);
-  StreamNeeds longest = long_stream();
+  StreamRequirements longest = long_stream();
   longest.expected_events = 170;
   CHECK(world.forecast(kSlow).unfinished_stream(longest) > 0.4);
   longest.time_left = -1s;
@@ -166,9 +166,9 @@
   world.put("a", kSlow);
   world.put("b", kUsual);
   world.loads.begin(BackendId("b"), 0);
-  StreamNeeds easy = long_stream();
+  StreamRequirements easy = long_stream();
   easy.target_gap = 10s;
-  easy.shortest_gap = 10s;
+  easy.min_target_gap = 10s;
   easy.time_left = 100s;
   CHECK(world.choose(long_stream(), 200) == "b");
   CHECK(world.choose(easy, 200) == "a");
--- a/src/gateway/tests/large_placement_test.cc
+++ b/src/gateway/tests/large_placement_test.cc
@@ -82,7 +82,7 @@
   for (const Duration later : {Duration(2s), Duration(30s), Duration(60s)}) {
     fleet.now += later;
     const PlacementPlan plan = fleet.choose(prompt);
-    CHECK(plan.reader.backend == nullptr);
+    CHECK(plan.prefill.backend == nullptr);
     CHECK(plan.runner.backend->id == keeper);
   }
   // Eleven others have been read there since: it may have had to give way.
@@ -112,7 +112,7 @@
     const Prompt prompt = parse_prompt("own" + std::to_string(i) + ":4000", "4000,10");
     const PlacementPlan plan = fleet.choose(prompt);
     const Backend* first =
-        plan.reader.backend != nullptr ? plan.reader.backend : plan.runner.backend;
+        plan.prefill.backend != nullptr ? plan.prefill.backend : plan.runner.backend;
     fleet.loads.begin(first->id, 4'000);
     ++sent[first->id];
   }
@@ -136,7 +136,7 @@
 TEST_CASE("where all are left alone for now, one of them is taken all the same") {
   LargePlacement fleet;
   for (int i = 0; i != kEngines; ++i) {
-    fleet.loads.of(BackendId("i-" + std::to_string(i))).note_silence(fleet.now);
+    fleet.loads.of(BackendId("i-" + std::to_string(i))).note_unresponsive(fleet.now);
   }
   CHECK(fleet.choose(LargePlacement::make_prompt("any")).runner.backend != nullptr);
 }
--- a/src/gateway/tests/policies_test.cc
+++ b/src/gateway/tests/policies_test.cc
@@ -229,8 +229,8 @@
   CHECK(load.reported_others(start) == doctest::Approx(13));
   CHECK(load.reported_others(start + 10s) == doctest::Approx(0).epsilon(0.01));
   CHECK(load.in_flight() == 1);
-  load.note_read(100);
-  load.end(AttemptVerdict::kGood, start);
+  load.note_prefilled(100);
+  load.end(AttemptOutcome::kSucceeded, start);
   CHECK(load.in_flight() == 0);
   CHECK(load.unread_tokens() == 0);
 }
@@ -239,12 +239,12 @@
   BackendLoad load;
   MonotonicTime now{};
   load.begin(0);
-  load.end(AttemptVerdict::kUnreachable, now);
+  load.end(AttemptOutcome::kUnreachable, now);
   CHECK(load.ejected(now + 900ms));
   CHECK_FALSE(load.ejected(now + 1100ms));
   now += 2s;
   load.begin(0);
-  load.end(AttemptVerdict::kUnreachable, now);
+  load.end(AttemptOutcome::kUnreachable, now);
   CHECK(load.ejected(now + 1900ms));
 }
 
@@ -277,7 +277,7 @@
   simulation::VirtualTime time;
   FleetState fleet;
   LoadTable loads;
-  gateway::testing::PlayedEngineCalls engines;
+  gateway::testing::FakeEngineCalls engines;
   std::vector<http::ClientRequest> asked;
   CacheSurvey survey(time, engines, fleet, loads,
                      [&](const BackendId&, http::ClientRequest request, const auto& done) {
@@ -338,7 +338,7 @@
       }
     }
     CHECK(CacheSources(fleet, loads, service, prompt, start + 60s).best_for(reader) == nullptr);
-    loads.note_silence(BackendId("near"), start + 2s);
+    loads.note_unresponsive(BackendId("near"), start + 2s);
     CHECK(CacheSources(fleet, loads, service, prompt, start + 2s).best_for(reader) == nullptr);
   }
 }
@@ -400,7 +400,7 @@
     SeededRandom random(seed);
     const Placement placement(fleet, loads, random, ZoneName("other"));
     const PlacementPlan plan = placement.choose(request, {});
-    REQUIRE(plan.reader.backend != nullptr);
+    REQUIRE(plan.prefill.backend != nullptr);
     CHECK(plan.runner.backend->id.value() == "d-near");
   }
 }
@@ -411,7 +411,7 @@
   for (int i = 0; i != 40; ++i) {
     fleet.put(make_engine("e" + std::to_string(i), EngineRole::kDecode));
   }
-  gateway::testing::PlayedEngineCalls engines;
+  gateway::testing::FakeEngineCalls engines;
   const std::vector<NodeId> nodes{NodeId("n1"), NodeId("n2"), NodeId("n3")};
   std::size_t asked = 0;
   std::size_t announced = 0;
@@ -448,7 +448,7 @@
   LoadTable loads;
   const MonotonicTime now = MonotonicTime() + 10s;
   for (int i = 0; i != 200; ++i) {
-    loads.of(BackendId("a")).note_told_ends(2, 2, now);
+    loads.of(BackendId("a")).note_peer_outcomes(2, 2, now);
   }
   loads.of(BackendId("b")).begin(5'000);
   const Placement placement(fleet, loads, random, ZoneName("z"));
@@ -475,13 +475,13 @@
 TEST_CASE("what another node tells of a silent back end counts unless it has just answered here") {
   const MonotonicTime now = MonotonicTime() + 10s;
   BackendLoad unknown;
-  unknown.note_told_silence(now);
+  unknown.note_peer_unresponsive(now);
   CHECK(unknown.ejected(now + 900ms));
   CHECK_FALSE(unknown.ejected(now + 1100ms));
   BackendLoad answering;
   answering.begin(0);
-  answering.end(AttemptVerdict::kGood, now - 100ms);
-  answering.note_told_silence(now);
+  answering.end(AttemptOutcome::kSucceeded, now - 100ms);
+  answering.note_peer_unresponsive(now);
   CHECK_FALSE(answering.ejected(now + 100ms));
 }
 
@@ -491,9 +491,9 @@
   loads.begin(id, 10);
   loads.forget(id);
   loads.note_report(id, {1, 1, 1}, {});
-  loads.note_read(id, 10);
-  loads.note_silence(id, {});
-  loads.end(id, AttemptVerdict::kGood, {});
+  loads.note_prefilled(id, 10);
+  loads.note_unresponsive(id, {});
+  loads.end(id, AttemptOutcome::kSucceeded, {});
   CHECK(loads.find(id) == nullptr);
 }
 
--- a/src/gateway/types.h
+++ b/src/gateway/types.h
@@ -41,7 +41,7 @@
   Duration target_latency{std::chrono::seconds(1)};  ///< Streams: to the first event.
   Duration target_gap{std::chrono::seconds(1)};      ///< Longest pause between events in time.
   std::uint32_t priority = 0;                        ///< 0 is the most urgent.
-  std::uint32_t most_attempts = 1;                   ///< Servers one request may be sent to.
+  std::uint32_t max_attempts = 1;                    ///< Servers one request may be sent to.
   bool resumable = false;
   bool anonymous = false;  ///< Needs no caller's key, even where there are tenants.
   std::vector<TrafficShare> shares;
@@ -71,7 +71,7 @@
 };
 
 /// Servers of a service that can be had and given back.
-struct ServerMarket {
+struct ServerScaling {
   std::uint32_t least = 0;  ///< Servers of one zone, of both kinds together.
   std::uint32_t most = 0;
   Duration boot{std::chrono::seconds(5)};  ///< From an order to its server's first request.
@@ -82,9 +82,9 @@
 
 struct Service {
   ServiceName name;
-  std::uint32_t most_connections = 100;  ///< Of all callers together, to one back end.
-  std::optional<EngineShape> engine{};   ///< None: an ordinary service.
-  std::optional<ServerMarket> market{};  ///< None: its servers are fixed.
+  std::uint32_t max_connections = 100;    ///< Of all callers together, to one back end.
+  std::optional<EngineShape> engine{};    ///< None: an ordinary service.
+  std::optional<ServerScaling> market{};  ///< None: its servers are fixed.
 };
 
 /// What callers may send and how long their connections may rest.
--- a/src/gateway_node/gateway_node.cc
+++ b/src/gateway_node/gateway_node.cc
@@ -95,24 +95,27 @@
                [this](const Endpoint& address, std::function<void(http::ProbeResult)> done) {
                  client_.probe(address, kProbeTimeout, std::move(done));
                },
-           .tell = [this](const auto& news) { peer_news_.tell_crashes(news); },
-           .tell_zone = [this](const auto& news) { peer_news_.tell_zone_crashes(news); },
-           .ask_horizon = [this] { peer_news_.ask_for_horizon(); },
+           .broadcast = [this](const auto& news) { peer_news_.tell_crashes(news); },
+           .broadcast_to_zone = [this](const auto& news) { peer_news_.tell_zone_crashes(news); },
+           .request_horizon = [this] { peer_news_.ask_for_horizon(); },
            .node_count = [this] { return nodes_.count(); }}),
       rate_limiter_(
           {clock, loop, random, logger, fleet_, nodes_},
-          {.tell_all = [this](const auto& news) { peer_news_.tell_limits(news); },
-           .tell = [this](const Endpoint& to, const auto& news) { peer_news_.send(to, news); },
-           .ask = [this](const Endpoint& to, const auto& ask) { peer_news_.send(to, ask); },
-           .reply = [this](const Endpoint& to, const auto& told) { peer_news_.send(to, told); }}),
+          {.broadcast = [this](const auto& news) { peer_news_.tell_limits(news); },
+           .send = [this](const Endpoint& to, const auto& news) { peer_news_.send(to, news); },
+           .send_request = [this](const Endpoint& to,
+                                  const auto& ask) { peer_news_.send(to, ask); },
+           .send_reply = [this](const Endpoint& to,
+                                const auto& told) { peer_news_.send(to, told); }}),
       admission_({clock, random, logger, fleet_, loads_, rate_limiter_},
                  [this](const auto& notice) { peer_news_.tell_notice(notice); }),
       queue_({clock, loop, random, logger, [this] { return nodes_.conservative_count(); }},
              settings_.queue),
       profile_exchange_(
           {clock, loop, random, profiles_}, settings_.node,
-          {.tell_all = [this](const auto& news) { peer_news_.tell_profiles(news); },
-           .tell_zone = [this](const auto& relayed) { peer_news_.tell_zone_profiles(relayed); }}),
+          {.broadcast = [this](const auto& news) { peer_news_.tell_profiles(news); },
+           .send_to_zone =
+               [this](const auto& relayed) { peer_news_.tell_zone_profiles(relayed); }}),
       survey_(clock, adapter_.engines, fleet_, loads_,
               [this](const gateway::BackendId& engine, http::ClientRequest request,
                      std::function<void(std::string)> done) {
@@ -143,8 +146,8 @@
       ready_(loop, server_at(settings_.ready_listen)),
       directory_(loop, server_at(settings_.directory_listen)),
       stop_(loop, {[this] { leave(); }, [this] { callers_.stop_accepting(); }, [this] { finish(); },
-                   [this] { return callers_.held(); }, [this] { gateway_.end_at(ends_at_); },
-                   [this] { end_requests(); }}) {}
+                   [this] { return callers_.held(); },
+                   [this] { gateway_.set_shutdown_time(ends_at_); }, [this] { end_requests(); }}) {}
 
 Result<void, http::HttpError> GatewayNode::start() {
   callers_.route("/",
@@ -173,19 +176,20 @@
   watcher_.on_fetch_needed(
       [this](const auto& request, auto done) { views_.fetch_from(request, std::move(done)); });
   watcher_.on_reading_assignment([this] { return peer_news_.channel().reading_duty(); });
-  fleet_.on_added([this](const gateway::Backend& backend) { admission_.note_known(backend.id); });
+  fleet_.on_added(
+      [this](const gateway::Backend& backend) { admission_.note_backend_added(backend.id); });
   fleet_.on_removed([this](const gateway::Backend& backend) {
     loads_.forget(backend.id);
     peer_news_.forget(backend.id);
     profile_exchange_.forget(backend.id);
     client_.forget(backend.address);
-    quarantine_.note_gone(backend);
+    quarantine_.note_backend_removed(backend);
     rate_limiter_.forget(backend.id);
-    gateway_.on_backend_gone(backend.id);
+    gateway_.on_backend_unregistered(backend.id);
   });
   watcher_.on_current([this] {
     apply_limits();
-    quarantine_.on_store_answer();
+    quarantine_.on_store_available();
     learn_cached_parts();
     nodes_.readmit_deferred();
   });
@@ -219,20 +223,20 @@
 void GatewayNode::write_again() {
   registration_.reregister();
   duties_.on_store_set_back();
-  quarantine_.on_store_set_back();
+  quarantine_.on_store_rolled_back();
 }
 
 void GatewayNode::connect_quarantine() {
   quarantine_.on_quarantined(
       [this](const gateway::RequestFingerprint& request) { gateway_.on_quarantined(request); });
   watcher_.on_other_key([this](const std::string& key, const std::optional<std::string>& value) {
-    quarantine_.take_stored(key, value);
+    quarantine_.apply_store_change(key, value);
   });
   peer_news_.on_crashes(
-      {.take = [this](const auto& news) { quarantine_.take(news); },
-       .take_to_relay = [this](const auto& news) { quarantine_.take_to_relay(news); },
-       .tell_all = [this](const auto& send) { quarantine_.tell_all(send); },
-       .take_horizon = [this](const auto& told) { quarantine_.take(told); },
+      {.take = [this](const auto& news) { quarantine_.receive(news); },
+       .take_to_relay = [this](const auto& news) { quarantine_.receive_for_relay(news); },
+       .tell_all = [this](const auto& send) { quarantine_.send_all(send); },
+       .take_horizon = [this](const auto& told) { quarantine_.receive(told); },
        .horizon = [this] { return quarantine_.horizon(); }});
   watcher_.on_first_listing([this] { quarantine_.on_first_listing(); });
   quarantine_.start();
@@ -240,20 +244,20 @@
 
 void GatewayNode::connect_admission() {
   peer_news_.on_limits(
-      {.take = [this](const auto& news) { rate_limiter_.take(news); },
-       .take_request = [this](const auto& request) { rate_limiter_.take(request); },
-       .take_reply = [this](const auto& reply) { rate_limiter_.take(reply); },
-       .tell_all = [this](const auto& send) { rate_limiter_.tell_all(send); }});
-  peer_news_.on_notices({.take = [this](const auto& notice) { admission_.take(notice); },
-                         .tell_all = [this](const auto& send) { admission_.tell_all(send); }});
+      {.take = [this](const auto& news) { rate_limiter_.receive(news); },
+       .take_request = [this](const auto& request) { rate_limiter_.receive(request); },
+       .take_reply = [this](const auto& reply) { rate_limiter_.receive(reply); },
+       .tell_all = [this](const auto& send) { rate_limiter_.send_all(send); }});
+  peer_news_.on_notices({.take = [this](const auto& notice) { admission_.receive(notice); },
+                         .tell_all = [this](const auto& send) { admission_.send_all(send); }});
 }
 
 void GatewayNode::connect_profiles() {
   peer_news_.on_profiles(
-      {.take = [this](const auto& news) { profile_exchange_.take(news); },
-       .take_to_relay = [this](const auto& news) { profile_exchange_.take_to_relay(news); },
-       .take_relayed = [this](const auto& relayed) { profile_exchange_.take(relayed); },
-       .tell_all = [this](const auto& send) { profile_exchange_.tell_all(send); }});
+      {.take = [this](const auto& news) { profile_exchange_.receive(news); },
+       .take_to_relay = [this](const auto& news) { profile_exchange_.receive_for_relay(news); },
+       .take_relayed = [this](const auto& relayed) { profile_exchange_.receive(relayed); },
+       .tell_all = [this](const auto& send) { profile_exchange_.send_all(send); }});
   profile_exchange_.start();
 }
 
@@ -314,7 +318,7 @@
 /// The grace is over.
 void GatewayNode::end_requests() {
   logger_.write({logging::Level::kWarning, kComponent, "requests outlast the stop", held_fields()});
-  gateway_.end_all();
+  gateway_.finish_all();
 }
 
 void GatewayNode::finish() {
@@ -358,7 +362,7 @@
 void GatewayNode::apply_limits() {
   const auto& limits =
       fleet_.routes() ? fleet_.routes()->configuration().limits : gateway::CallerLimits();
-  callers_.set_largest_body(limits.largest_body_bytes);
+  callers_.set_largest_body(limits.max_body_bytes);
   callers_.set_idle_timeout(limits.idle_timeout + kIdleMargin);
 }
 
--- a/src/gateway_node/peer_channel.cc
+++ b/src/gateway_node/peer_channel.cc
@@ -136,11 +136,11 @@
   tell_every_node(leaving);
 }
 
-void PeerChannel::tell_crashes(const quarantine::CrashNews& news) {
+void PeerChannel::tell_crashes(const quarantine::CrashReportBatch& news) {
   tell_every_node(news);
 }
 
-void PeerChannel::tell_limits(const rate_limit::LimitNews& news) {
+void PeerChannel::tell_limits(const rate_limit::LimitReport& news) {
   tell_every_node(news);
 }
 
@@ -159,11 +159,11 @@
 }
 
 /// A relay's own news need not be gathered: it is one of the nodes that tell.
-void PeerChannel::tell_profiles(const engine_profiles::ProfileNews& news) {
+void PeerChannel::tell_profiles(const engine_profiles::ProfileReport& news) {
   tell_every_node(news);
 }
 
-void PeerChannel::tell_zone_crashes(const quarantine::CrashNews& news) {
+void PeerChannel::tell_zone_crashes(const quarantine::CrashReportBatch& news) {
   send_to(relays_.zone_members(), news);
 }
 
--- a/src/gateway_node/peer_news.cc
+++ b/src/gateway_node/peer_news.cc
@@ -39,15 +39,15 @@
                make_handlers(), std::move(send)),
       peer_work_([this](const gateway::BackendId& engine) { return world_.loads.own(engine); }),
       announcer_(
-          world.timers, {.node = world.nodes.self().node, .life = world.random.next()},
+          world.timers, {.node = world.nodes.self().node, .incarnation = world.random.next()},
           [this](const gateway::BackendId& engine) { return world_.loads.own(engine); },
           [this](const peer_load::WorkReport& report) { channel_.tell_work(report); }),
       relay_(
           world.timers,
           {.node = world.nodes.self().node,
-           .life = world.random.next(),
-           .gather = options_.relay_gather,
-           .repeat = false},
+           .incarnation = world.random.next(),
+           .batch_window = options_.relay_gather,
+           .refresh = false},
           [this](const gateway::BackendId& engine) { return work_of_all(engine); },
           [this](const peer_load::WorkReport& sums) { channel_.tell_relayed_work(sums); }),
       offer_timer_(world.timers),
@@ -71,12 +71,12 @@
   });
   loads.on_end([this](const gateway::BackendId& id, bool failed) {
     if (is_engine(id)) {
-      announcer_.note_end(id, failed);
+      announcer_.note_attempt_end(id, failed);
     }
   });
-  loads.on_silence([this](const gateway::BackendId& id) { announcer_.note_silence(id); });
+  loads.on_unresponsive([this](const gateway::BackendId& id) { announcer_.note_unresponsive(id); });
   loads.on_prompt([this](const gateway::BackendId& id, const std::vector<std::uint64_t>& keys) {
-    announcer_.note_parts(id, keys);
+    announcer_.note_prefilled_parts(id, keys);
   });
 }
 
@@ -101,9 +101,12 @@
       .parts_request = [this](const peer_load::PartsRequest& request) { tell_parts(request); },
       .offer = [this](const ViewOffer& offer) { on_offer_(offer.view_address); },
       .usage = [this](const usage::UsageReport& report) { call_if_set(usage_, report); },
-      .crashes = [this](const quarantine::CrashNews& news) { call_if_set(crashes_.take, news); },
+      .crashes =
+          [this](const quarantine::CrashReportBatch& news) { call_if_set(crashes_.take, news); },
       .crashes_to_relay =
-          [this](const quarantine::CrashNews& news) { call_if_set(crashes_.take_to_relay, news); },
+          [this](const quarantine::CrashReportBatch& news) {
+            call_if_set(crashes_.take_to_relay, news);
+          },
       .horizon_request = [this](const quarantine::HorizonRequest& request) { answer(request); },
       .horizon_report =
           [this](const quarantine::HorizonReport& told) {
@@ -113,7 +116,7 @@
           [this](const NodeLeaving& told) {
             world_.nodes.note_leaving(told.node, told.registered);
           },
-      .limits = [this](const rate_limit::LimitNews& news) { call_if_set(limits_.take, news); },
+      .limits = [this](const rate_limit::LimitReport& news) { call_if_set(limits_.take, news); },
       .permit_request =
           [this](const rate_limit::PermitRequest& request) {
             call_if_set(limits_.take_request, request);
@@ -123,13 +126,13 @@
       .notice =
           [this](const admission::BackendNotice& notice) { call_if_set(notices_.take, notice); },
       .profiles =
-          [this](const engine_profiles::ProfileNews& news) { call_if_set(profiles_.take, news); },
+          [this](const engine_profiles::ProfileReport& news) { call_if_set(profiles_.take, news); },
       .profiles_to_relay =
-          [this](const engine_profiles::ProfileNews& news) {
+          [this](const engine_profiles::ProfileReport& news) {
             call_if_set(profiles_.take_to_relay, news);
           },
       .relayed_profiles =
-          [this](const engine_profiles::RelayedProfileNews& relayed) {
+          [this](const engine_profiles::RelayedProfileReports& relayed) {
             call_if_set(profiles_.take_relayed, relayed);
           }};
 }
@@ -157,12 +160,12 @@
     }
     gateway::BackendLoad& load = world_.loads.of(work.engine);
     if (work.ended != 0) {
-      load.note_told_ends(work.ended, work.failed, now);
+      load.note_peer_outcomes(work.ended, work.failed, now);
     }
-    if (work.silent) {
-      load.note_told_silence(now);
+    if (work.unresponsive) {
+      load.note_peer_unresponsive(now);
     }
-    for (const std::uint64_t key : work.parts_read) {
+    for (const std::uint64_t key : work.prefilled_parts) {
       world_.loads.note_cached(work.engine, key, now);
     }
   }
@@ -175,13 +178,13 @@
 }
 
 void PeerNews::tell_parts(const peer_load::PartsRequest& request) {
-  announcer_.tell_all(world_.loads, world_.clock.now(), [&](const peer_load::WorkReport& report) {
-    channel_.send(request.reply_to, report);
-  });
+  announcer_.send_cached_parts(
+      world_.loads, world_.clock.now(),
+      [&](const peer_load::WorkReport& report) { channel_.send(request.reply_to, report); });
   tell_all_crashes(request.reply_to);
   if (limits_.tell_all) {
     limits_.tell_all(
-        [&](const rate_limit::LimitNews& news) { channel_.send(request.reply_to, news); });
+        [&](const rate_limit::LimitReport& news) { channel_.send(request.reply_to, news); });
   }
   if (notices_.tell_all) {
     notices_.tell_all(
@@ -189,13 +192,13 @@
   }
   if (profiles_.tell_all) {
     profiles_.tell_all(
-        [&](const engine_profiles::ProfileNews& news) { channel_.send(request.reply_to, news); });
+        [&](const engine_profiles::ProfileReport& news) { channel_.send(request.reply_to, news); });
   }
 }
 
 void PeerNews::tell_all_crashes(const Endpoint& to) {
   if (crashes_.tell_all) {
-    crashes_.tell_all([&](const quarantine::CrashNews& news) { channel_.send(to, news); });
+    crashes_.tell_all([&](const quarantine::CrashReportBatch& news) { channel_.send(to, news); });
   }
   if (crashes_.horizon) {
     channel_.send(to, crashes_.horizon());
--- a/src/gateway_node/tests/crash_fleet.h
+++ b/src/gateway_node/tests/crash_fleet.h
@@ -17,7 +17,7 @@
 #include "admission/admission_control.h"
 #include "base/random.h"
 #include "discovery/fleet_watcher.h"
-#include "gateway/backend_life.h"
+#include "gateway/backend_incarnation.h"
 #include "gateway/gateway.h"
 #include "gateway/tests/gateway_fixture.h"
 #include "gateway_node/peer_news.h"
@@ -160,7 +160,7 @@
   gateway::RetryBudget budget{{0.2, 52, 10s}};
   gateway::SharePicker shares;
   gateway::HeaderNames names;
-  gateway::testing::PlayedEngineCalls engines;
+  gateway::testing::FakeEngineCalls engines;
   gateway::GatewayStatistics statistics;
   FleetTransport transport;
   shared_store::testing::MemoryStore store;
@@ -250,9 +250,9 @@
     await(ask(node, path, body), std::move(done));
   }
   /// One request of a caller at a node.
-  std::shared_ptr<gateway::testing::PlayedCaller> ask(std::size_t node, const std::string& path,
-                                                      const std::string& body) {
-    auto caller = std::make_shared<gateway::testing::PlayedCaller>();
+  std::shared_ptr<gateway::testing::FakeCaller> ask(std::size_t node, const std::string& path,
+                                                    const std::string& body) {
+    auto caller = std::make_shared<gateway::testing::FakeCaller>();
     const gateway::HeaderNames names;
     std::vector<http::Header> headers{
         {"host", "h"},
@@ -388,7 +388,8 @@
   std::size_t nodes_with_quarantined(std::size_t requests) const {
     return static_cast<std::size_t>(
         std::count_if(nodes.begin(), nodes.end(), [&](const auto& node) {
-          return node->quarantine.ledger().count(quarantine::Standing::kQuarantined) == requests;
+          return node->quarantine.ledger().count(quarantine::SuspicionLevel::kQuarantined) ==
+                 requests;
         }));
   }
 
@@ -539,7 +540,7 @@
                             : gateway::BackendId(base + "-" + std::to_string(server.lives));
   }
   void register_server(const PlayedServer& server) {
-    write("backends/" + std::string(gateway::name_of(server.backend.id)),
+    write("backends/" + std::string(gateway::backend_name(server.backend.id)),
           wire::encode(server.backend));
   }
   void start_node(std::size_t number) {
@@ -557,7 +558,7 @@
     const auto header = [&](const std::string& wanted) {
       return http::find_header(exchange->request.headers, wanted);
     };
-    if (header(names.expected_instance) != gateway::name_of(server.backend.id)) {
+    if (header(names.expected_instance) != gateway::backend_name(server.backend.id)) {
       answer(server, exchange, 421, {}, "");
       return;
     }
@@ -673,8 +674,7 @@
                         [this, &server, exchange, event] { stream(server, exchange, event + 1); });
   }
   /// Looks now and then whether an answer has ended.
-  void await(std::shared_ptr<gateway::testing::PlayedCaller> caller,
-             std::function<void(int)> done) {
+  void await(std::shared_ptr<gateway::testing::FakeCaller> caller, std::function<void(int)> done) {
     if (!caller->ended()) {
       time.schedule_after(20ms,
                           [this, caller = std::move(caller), done = std::move(done)]() mutable {
@@ -737,16 +737,16 @@
           {.key_prefix = fleet.codec.layout().quarantine_prefix, .node = record.node},
           {.probe = [this, &fleet](const Endpoint& address,
                                    auto done) { fleet.probe(*this, address, std::move(done)); },
-           .tell = [this](const auto& told) { news.tell_crashes(told); },
-           .tell_zone = [this](const auto& told) { news.tell_zone_crashes(told); },
-           .ask_horizon = [this] { news.ask_for_horizon(); },
+           .broadcast = [this](const auto& told) { news.tell_crashes(told); },
+           .broadcast_to_zone = [this](const auto& told) { news.tell_zone_crashes(told); },
+           .request_horizon = [this] { news.ask_for_horizon(); },
            .node_count = [this] { return nodes.count(); }}),
       rate_limiter(
           {clock, machine, limiter_random, fleet.logger, view, nodes},
-          {.tell_all = [this](const auto& told) { news.tell_limits(told); },
-           .tell = [this](const Endpoint& to, const auto& told) { news.send(to, told); },
-           .ask = [this](const Endpoint& to, const auto& told) { news.send(to, told); },
-           .reply = [this](const Endpoint& to, const auto& told) { news.send(to, told); }}),
+          {.broadcast = [this](const auto& told) { news.tell_limits(told); },
+           .send = [this](const Endpoint& to, const auto& told) { news.send(to, told); },
+           .send_request = [this](const Endpoint& to, const auto& told) { news.send(to, told); },
+           .send_reply = [this](const Endpoint& to, const auto& told) { news.send(to, told); }}),
       admission({clock, limiter_random, fleet.logger, view, loads, rate_limiter},
                 [this](const auto& told) { news.tell_notice(told); }),
       gateway({clock,
@@ -769,28 +769,30 @@
   for (std::uint32_t i = 0; i != fleet.options().drawn; ++i) {
     random.next();
   }
-  view.on_added([this](const gateway::Backend& backend) { admission.note_known(backend.id); });
+  view.on_added(
+      [this](const gateway::Backend& backend) { admission.note_backend_added(backend.id); });
   view.on_removed([this](const gateway::Backend& backend) {
     loads.forget(backend.id);
     news.forget(backend.id);
-    quarantine.note_gone(backend);
+    quarantine.note_backend_removed(backend);
     rate_limiter.forget(backend.id);
   });
   quarantine.on_quarantined([this](const auto& request) { gateway.on_quarantined(request); });
   watcher.on_other_key(
-      [this](const auto& key, const auto& value) { quarantine.take_stored(key, value); });
-  news.on_crashes({.take = [this](const auto& told) { quarantine.take(told); },
-                   .take_to_relay = [this](const auto& told) { quarantine.take_to_relay(told); },
-                   .tell_all = [this](const auto& send) { quarantine.tell_all(send); },
-                   .take_horizon = [this](const auto& told) { quarantine.take(told); },
-                   .horizon = [this] { return quarantine.horizon(); }});
+      [this](const auto& key, const auto& value) { quarantine.apply_store_change(key, value); });
+  news.on_crashes(
+      {.take = [this](const auto& told) { quarantine.receive(told); },
+       .take_to_relay = [this](const auto& told) { quarantine.receive_for_relay(told); },
+       .tell_all = [this](const auto& send) { quarantine.send_all(send); },
+       .take_horizon = [this](const auto& told) { quarantine.receive(told); },
+       .horizon = [this] { return quarantine.horizon(); }});
   watcher.on_first_listing([this] { quarantine.on_first_listing(); });
-  news.on_limits({.take = [this](const auto& told) { rate_limiter.take(told); },
-                  .take_request = [this](const auto& told) { rate_limiter.take(told); },
-                  .take_reply = [this](const auto& told) { rate_limiter.take(told); },
-                  .tell_all = [this](const auto& send) { rate_limiter.tell_all(send); }});
-  news.on_notices({.take = [this](const auto& told) { admission.take(told); },
-                   .tell_all = [this](const auto& send) { admission.tell_all(send); }});
+  news.on_limits({.take = [this](const auto& told) { rate_limiter.receive(told); },
+                  .take_request = [this](const auto& told) { rate_limiter.receive(told); },
+                  .take_reply = [this](const auto& told) { rate_limiter.receive(told); },
+                  .tell_all = [this](const auto& send) { rate_limiter.send_all(send); }});
+  news.on_notices({.take = [this](const auto& told) { admission.receive(told); },
+                   .tell_all = [this](const auto& send) { admission.send_all(send); }});
   watcher.on_store_state([this](bool reachable) { news.on_store_state(reachable); });
   watcher.on_view_needed([this, &fleet](auto done) {
     fleet.fetch_view(*this, {offered_at, {}}, std::move(done));
@@ -800,7 +802,7 @@
   });
   watcher.on_reading_assignment([this] { return news.channel().reading_duty(); });
   watcher.on_current([this] {
-    quarantine.on_store_answer();
+    quarantine.on_store_available();
     if (!std::exchange(asked, true)) {
       news.ask_for_parts();
     }
--- a/src/peer_load/tests/peer_load_test.cc
+++ b/src/peer_load/tests/peer_load_test.cc
@@ -29,7 +29,7 @@
           {{.engine = BackendId("e"),
             .requests = requests,
             .unread_tokens = tokens,
-            .parts_read = {}}}};
+            .prefilled_parts = {}}}};
 }
 
 /// A node and what it announces of its own work.
@@ -53,7 +53,7 @@
   work.apply(make_report("a", 3, 1, 30), now);
   work.apply(make_report("a", 2, 9, 900), now);
   CHECK(work.work_at(BackendId("e"), now).requests == 2);
-  CHECK(work.work_at(BackendId("e"), now).unread_tokens == 80);
+  CHECK(work.work_at(BackendId("e"), now).pending_prefill_tokens == 80);
   CHECK(work.work_at(BackendId("other"), now).requests == 0);
 }
 
@@ -76,11 +76,11 @@
   loads.begin(BackendId("e"), 100);
   work.apply_relayed(make_report("relay", 1, 3, 700), now);
   CHECK(work.work_at(BackendId("e"), now).requests == 2);
-  CHECK(work.work_at(BackendId("e"), now).unread_tokens == 600);
+  CHECK(work.work_at(BackendId("e"), now).pending_prefill_tokens == 600);
   // The sum may be older than what began here since.
   work.apply_relayed(make_report("relay", 2, 0, 0), now);
   CHECK(work.work_at(BackendId("e"), now).requests == 0);
-  CHECK(work.work_at(BackendId("e"), now).unread_tokens == 0);
+  CHECK(work.work_at(BackendId("e"), now).pending_prefill_tokens == 0);
 }
 
 TEST_CASE("a relay's sums are forgotten when relays fall silent; what a node tells itself counts") {
@@ -89,7 +89,7 @@
   work.apply_relayed(make_report("relay", 1, 3, 700), now);
   work.apply(make_report("a", 1, 1, 900), now + 2s);
   CHECK(work.work_at(BackendId("e"), now + 2s).requests == 3);
-  CHECK(work.work_at(BackendId("e"), now + 2s).unread_tokens == 900);
+  CHECK(work.work_at(BackendId("e"), now + 2s).pending_prefill_tokens == 900);
   CHECK(work.work_at(BackendId("e"), now + 3s).requests == 1);
   work.forget(BackendId("e"));
   CHECK(work.work_at(BackendId("e"), now + 3s).requests == 0);
@@ -109,10 +109,10 @@
           expected[node % 5] = {requests, now};
           std::uint32_t sum = 0;
           for (const auto& [id, told] : expected) {
-            sum += now - told.second <= PeerWork::kBelief ? told.first : 0;
+            sum += now - told.second <= PeerWork::kReportLifetime ? told.first : 0;
           }
           RC_ASSERT(work.work_at(BackendId("e"), now).requests == sum);
-          RC_ASSERT(work.work_at(BackendId("e"), now).unread_tokens == sum);
+          RC_ASSERT(work.work_at(BackendId("e"), now).pending_prefill_tokens == sum);
         }
       }));
 }
@@ -130,7 +130,7 @@
     report.engines[0].ended = 3;
     report.engines[0].failed = 1;
     report.engines[0].silent = true;
-    report.engines[0].parts_read = {77};
+    report.engines[0].prefilled_parts = {77};
     work.apply(report, time.now());
     relay.note_report(report);
   }
@@ -145,7 +145,7 @@
   CHECK(sum.ended == 6);
   CHECK(sum.failed == 2);
   CHECK(sum.silent);
-  CHECK(sum.parts_read.size() == 2);
+  CHECK(sum.prefilled_parts.size() == 2);
 }
 
 TEST_CASE("a report on very many engines goes out in datagrams that others can take") {
@@ -174,8 +174,8 @@
   CHECK(world.sent[0].engines[0].unread_tokens == 100);
   world.time.run_until(world.time.now() + 1100ms);
   CHECK(world.sent.size() == 2);
-  world.loads.end(BackendId("e"), gateway::AttemptVerdict::kGood, world.time.now());
-  world.loads.end(BackendId("e"), gateway::AttemptVerdict::kGood, world.time.now());
+  world.loads.end(BackendId("e"), gateway::AttemptOutcome::kSucceeded, world.time.now());
+  world.loads.end(BackendId("e"), gateway::AttemptOutcome::kSucceeded, world.time.now());
   world.time.run_until(world.time.now() + 10s);
   CHECK(world.sent.back().engines[0].requests == 0);
   CHECK(world.sent.size() == 3);
@@ -184,11 +184,11 @@
 TEST_CASE("a silent back end is told once, with its work") {
   AnnouncingNode world;
   world.loads.on_change([&](const BackendId& id) { world.announcer.note_change(id); });
-  world.loads.on_silence([&](const BackendId& id) { world.announcer.note_silence(id); });
+  world.loads.on_unresponsive([&](const BackendId& id) { world.announcer.note_silence(id); });
   world.loads.begin(BackendId("e"), 0);
-  world.loads.note_silence(BackendId("e"), world.time.now());
+  world.loads.note_unresponsive(BackendId("e"), world.time.now());
   world.time.run_until(world.time.now() + 10ms);
-  world.loads.end(BackendId("e"), gateway::AttemptVerdict::kFailed, world.time.now());
+  world.loads.end(BackendId("e"), gateway::AttemptOutcome::kFailed, world.time.now());
   world.time.run_until(world.time.now() + 10ms);
   REQUIRE(world.sent.size() == 2);
   CHECK(world.sent[0].engines[0].silent);
@@ -200,8 +200,8 @@
   world.loads.on_change([&](const BackendId& id) { world.announcer.note_change(id); });
   world.loads.on_end(
       [&](const BackendId& id, bool failed) { world.announcer.note_end(id, failed); });
-  for (const auto verdict : {gateway::AttemptVerdict::kGood, gateway::AttemptVerdict::kFailed,
-                             gateway::AttemptVerdict::kAbandoned}) {
+  for (const auto verdict : {gateway::AttemptOutcome::kSucceeded, gateway::AttemptOutcome::kFailed,
+                             gateway::AttemptOutcome::kAbandoned}) {
     world.loads.begin(BackendId("e"), 0);
     world.loads.end(BackendId("e"), verdict, world.time.now());
   }
@@ -231,7 +231,7 @@
     CHECK(report.sequence > sequence);
     sequence = report.sequence;
     for (const EngineWork& work : report.engines) {
-      told[work.engine].insert(work.parts_read.begin(), work.parts_read.end());
+      told[work.engine].insert(work.prefilled_parts.begin(), work.prefilled_parts.end());
       CHECK(work.requests == (work.engine == BackendId("e2") ? 1 : 0));
     }
   });
@@ -243,8 +243,8 @@
   std::size_t parts = 0;
   world.announcer.tell_all(world.loads, world.time.now() + 60s, [&](const WorkReport& report) {
     for (const EngineWork& work : report.engines) {
-      CHECK(work.parts_read.size() <= 11);
-      parts += work.parts_read.size();
+      CHECK(work.prefilled_parts.size() <= 11);
+      parts += work.prefilled_parts.size();
     }
   });
   CHECK(parts == 33);
--- a/src/peer_load/types.h
+++ b/src/peer_load/types.h
@@ -19,7 +19,7 @@
   std::uint32_t failed = 0;  ///< Of these, in failure.
   bool silent = false;       ///< It has not answered this node at all, just now.
   std::vector<std::uint64_t>
-      parts_read;  ///< Keys of shared prompt parts read since the last report.
+      prefilled_parts;  ///< Keys of shared prompt parts read since the last report.
 
   template <class Archive>
   void serialize(Archive& archive, unsigned /*version*/) {
@@ -29,7 +29,7 @@
     archive& ended;
     archive& failed;
     archive& silent;
-    archive& parts_read;
+    archive& prefilled_parts;
   }
 };
 
--- a/src/peer_load/work_announcer.cc
+++ b/src/peer_load/work_announcer.cc
@@ -50,7 +50,7 @@
     if (work.ended != 0) {
       note_ends(work.engine, work.ended, work.failed);
     }
-    note_parts(work.engine, work.parts_read);
+    note_parts(work.engine, work.prefilled_parts);
   }
 }
 
@@ -63,7 +63,7 @@
       work.failed = ends.mapped().failed;
     }
     if (auto parts = parts_.extract(engine)) {
-      work.parts_read = std::move(parts.mapped());
+      work.prefilled_parts = std::move(parts.mapped());
     }
     if (work.requests == 0) {
       busy_.erase(engine);
@@ -81,8 +81,8 @@
 void WorkAnnouncer::tell_all(const gateway::LoadTable& loads, MonotonicTime now, const Send& send) {
   for (const auto& [engine, load] : loads.all()) {
     EngineWork work = work_at(engine);
-    work.parts_read = load.held_parts(now);
-    if (!work.parts_read.empty()) {
+    work.prefilled_parts = load.cached_part_keys(now);
+    if (!work.prefilled_parts.empty()) {
       append(std::move(work), send);
     }
   }
@@ -94,23 +94,23 @@
   EngineWork work;
   work.engine = engine;
   work.requests = now.requests;
-  work.unread_tokens = now.unread_tokens;
+  work.unread_tokens = now.pending_prefill_tokens;
   return work;
 }
 
 void WorkAnnouncer::append(EngineWork work, const Send& send) {
-  while (parts_in_report_ + work.parts_read.size() > kMostParts) {
+  while (parts_in_report_ + work.prefilled_parts.size() > kMostParts) {
     EngineWork piece = work;
-    piece.parts_read.resize(kMostParts - parts_in_report_);
-    work.parts_read.erase(
-        work.parts_read.begin(),
-        work.parts_read.begin() + static_cast<std::ptrdiff_t>(piece.parts_read.size()));
+    piece.prefilled_parts.resize(kMostParts - parts_in_report_);
+    work.prefilled_parts.erase(
+        work.prefilled_parts.begin(),
+        work.prefilled_parts.begin() + static_cast<std::ptrdiff_t>(piece.prefilled_parts.size()));
     report_.engines.push_back(std::move(piece));
     flush(send);
     work.ended = 0;
     work.failed = 0;
   }
-  parts_in_report_ += work.parts_read.size();
+  parts_in_report_ += work.prefilled_parts.size();
   report_.engines.push_back(std::move(work));
   if (report_.engines.size() == kMostEngines) {
     flush(send);
--- a/src/peer_load/work_announcer.h
+++ b/src/peer_load/work_announcer.h
@@ -51,7 +51,7 @@
   void tell_all(const gateway::LoadTable& loads, MonotonicTime now, const Send& send);
 
  private:
-  /// Work that goes on is told again after this time; see `PeerWork::kBelief`.
+  /// Work that goes on is told again after this time; see `PeerWork::kReportLifetime`.
   static constexpr Duration kRepeat{std::chrono::milliseconds(1000)};
 
   /// A report with this many of both fits into a datagram: 10 and some 45 bytes each.
--- a/src/quarantine/crash_announcer.cc
+++ b/src/quarantine/crash_announcer.cc
@@ -117,7 +117,7 @@
 }
 
 void CrashAnnouncer::send(const std::set<RequestFingerprint>& requests, const Send& send_to) const {
-  CrashNews news;
+  CrashReportBatch news;
   std::size_t bytes = 0;
   for (const RequestFingerprint& request : requests) {
     auto report = ledger_.report(request, clock_.now());
--- a/src/quarantine/crash_announcer.h
+++ b/src/quarantine/crash_announcer.h
@@ -33,7 +33,7 @@
 /// One loop.
 class CrashAnnouncer {
  public:
-  using Send = std::function<void(const CrashNews&)>;
+  using Send = std::function<void(const CrashReportBatch&)>;
 
   CrashAnnouncer(const Clock& clock, TimerService& timers, const CrashLedger& ledger,
                  CrashAnnouncerOptions options, Send send);
--- a/src/quarantine/tests/crash_announcer_test.cc
+++ b/src/quarantine/tests/crash_announcer_test.cc
@@ -38,8 +38,8 @@
 
   simulation::VirtualTime time;
   CrashLedger ledger;
-  std::vector<std::pair<MonotonicTime, CrashNews>> sent;
-  CrashAnnouncer announcer{time, time, ledger, {}, [this](const CrashNews& news) {
+  std::vector<std::pair<MonotonicTime, CrashReportBatch>> sent;
+  CrashAnnouncer announcer{time, time, ledger, {}, [this](const CrashReportBatch& news) {
                              sent.emplace_back(time.now(), news);
                            }};
 };
--- a/src/quarantine/types.h
+++ b/src/quarantine/types.h
@@ -52,7 +52,7 @@
 };
 
 /// A datagram.
-struct CrashNews {
+struct CrashReportBatch {
   std::vector<CrashReport> reports;
 
   template <class Archive>
--- /dev/null
+++ b/src/rate_limit/coordinator_selector.h
@@ -0,0 +1,53 @@
+// Selects the node that coordinates the sends of all nodes to one rate-limited back end.
+#pragma once
+
+#include <cstdint>
+#include <map>
+
+#include "base/ids.h"
+#include "base/time.h"
+#include "discovery/node_directory.h"
+#include "gateway/types.h"
+
+namespace ochrespring::rate_limit {
+
+/// Ranks nodes by rendezvous hash: all nodes that know the same fleet select the same coordinator,
+/// and back ends are distributed over the nodes. A node that does not answer (terminated but still
+/// registered, isolated, or of a build without permits) is skipped for a while, twice as long each
+/// time. No side effects; must be used from one event loop.
+class CoordinatorSelector {
+ public:
+  explicit CoordinatorSelector(const discovery::NodeDirectory& nodes) : nodes_(nodes) {}
+
+  /// Returns null if this node itself is the coordinator.
+  const discovery::NodeRecord* select(const gateway::BackendId& backend, MonotonicTime now);
+  /// A request to the node remained unanswered.
+  void note_unanswered(const NodeId& node, MonotonicTime now);
+  void note_answered(const NodeId& node) { unresponsive_.erase(node); }
+  void forget(const gateway::BackendId& backend) { selections_.erase(backend); }
+
+ private:
+  /// A node is skipped once it has not answered for this long; single datagrams may be lost.
+  static constexpr Duration kUnansweredTolerance{std::chrono::milliseconds(300)};
+  static constexpr Duration kFirstSkip{std::chrono::seconds(3)};
+  static constexpr Duration kMaxSkip{std::chrono::seconds(60)};
+
+  struct Unresponsive {
+    MonotonicTime since{};
+    MonotonicTime skipped_until{};
+    Duration next_skip{kFirstSkip};
+  };
+  struct Selection {
+    std::uint64_t fleet_version = 0;
+    MonotonicTime valid_until{};  ///< When a skipped node is tried again.
+    NodeId node;
+  };
+
+  Selection compute_selection(const gateway::BackendId& backend, MonotonicTime now) const;
+
+  const discovery::NodeDirectory& nodes_;
+  std::map<NodeId, Unresponsive> unresponsive_;
+  std::map<gateway::BackendId, Selection> selections_;
+};
+
+}  // namespace ochrespring::rate_limit
--- a/src/rate_limit/limit_table.h
+++ b/src/rate_limit/limit_table.h
@@ -1,4 +1,4 @@
-// What this node knows of back ends' rate limits.
+// The rate limits of back ends known to this node.
 #pragma once
 
 #include <map>
@@ -9,21 +9,23 @@
 
 namespace ochrespring::rate_limit {
 
-/// A limit holds until the back end answers without one. An answer counts only if its request was
-/// sent after what is known here was learnt: the head of an older one may have been made before.
-/// Pure; one loop.
+/// Stores the latest rate limit of each back end. A limit holds until the back end answers without
+/// one. An answer counts only if its request was sent after this node learned the stored limit: the
+/// head of an older answer may have been generated before that. No side effects; must be used from
+/// one event loop.
 class LimitTable {
  public:
-  /// Versions beyond this are no node's: each is one statement of a back end.
-  static constexpr std::uint64_t kMostVersion = std::uint64_t{1} << 53U;
-
-  /// Returns what other nodes are to be told, if the answer says something new.
-  std::optional<LimitNews> note_answer(const RateAnswer& answer, MonotonicTime now);
-  /// Whether the news changed what is known.
-  bool take(const LimitNews& news, MonotonicTime now);
-  /// Null: nothing was ever heard.
-  const LimitNews* find(const gateway::BackendId& backend) const;
-  /// The limit in force; none: there is none.
+  /// Higher versions are rejected as invalid: a version increases by one with each change that a
+  /// back end states.
+  static constexpr std::uint64_t kMaxVersion = std::uint64_t{1} << 53U;
+
+  /// Returns a report for other nodes if the answer changes the limit.
+  std::optional<LimitReport> note_answer(const RateAnswer& answer, MonotonicTime now);
+  /// Merges another node's report. Returns whether it changed the limit.
+  bool merge(const LimitReport& report, MonotonicTime now);
+  /// Returns null if nothing was received for the back end.
+  const LimitReport* find(const gateway::BackendId& backend) const;
+  /// Returns the limit in force, if any.
   std::optional<gateway::RequestRate> limit_of(const gateway::BackendId& backend) const;
   void forget(const gateway::BackendId& backend) { known_.erase(backend); }
 
@@ -31,14 +33,14 @@
   template <class Visit>
   void for_each(const Visit& visit) const {
     for (const auto& [backend, known] : known_) {
-      visit(known.news);
+      visit(known.report);
     }
   }
 
  private:
   struct Known {
-    LimitNews news;
-    MonotonicTime since{};  ///< When this node learnt it.
+    LimitReport report;
+    MonotonicTime since{};  ///< When this node learned it.
   };
 
   std::map<gateway::BackendId, Known> known_;
