--- a/src/admission/admission_control.h
+++ b/src/admission/admission_control.h
@@ -21,11 +21,11 @@
 namespace ochrespring::admission {
 
 struct AdmissionStatistics {
-  std::uint64_t backoffs_heard = 0;       ///< Answers that asked this node for a pause.
+  std::uint64_t backoffs_received = 0;    ///< Answers that asked this node for a pause.
   std::uint64_t backoffs_unreadable = 0;  ///< Refusals whose time could not be read.
-  std::uint64_t backoffs_told = 0;        ///< Pauses that other nodes have told of.
-  std::uint64_t leavings_heard = 0;       ///< Back ends that said so to this node first.
-  std::uint64_t leavings_told = 0;        ///< Back ends that other nodes told of first.
+  std::uint64_t backoffs_reported = 0;    ///< Pauses that other nodes have told of.
+  std::uint64_t departures_received = 0;  ///< Back ends that said so to this node first.
+  std::uint64_t departures_reported = 0;  ///< Back ends that other nodes told of first.
 };
 
 /// Joins what closes a back end to this node: a pause that it has asked this node for, its leaving,
@@ -37,7 +37,7 @@
 class AdmissionControl final : public gateway::SendGate {
  public:
   /// References outlive it.
-  struct World {
+  struct Dependencies {
     const Clock& clock;
     RandomSource& random;
     logging::Logger& logger;
@@ -46,15 +46,15 @@
     rate_limit::RateLimiter& rate_limiter;
   };
 
-  /// `tell_all` takes news for all other nodes, which may be lost, doubled or late.
-  AdmissionControl(World world, std::function<void(const BackendNotice&)> tell_all)
-      : world_(world), tell_all_(std::move(tell_all)) {}
+  /// `send_all` takes news for all other nodes, which may be lost, doubled or late.
+  AdmissionControl(Dependencies dependencies, std::function<void(const BackendNotice&)> broadcast)
+      : dependencies_(dependencies), broadcast_(std::move(broadcast)) {}
 
   bool has_room(const gateway::BackendId& backend, MonotonicTime now) const override;
   gateway::ClaimResult claim(const gateway::BackendId& backend, gateway::SendRank rank,
                              std::function<void(bool granted)> done) override;
   bool is_paused(const gateway::BackendId& backend, MonotonicTime now) const override {
-    return backoffs_.is_paused(backend, now);
+    return backoffs_.is_backing_off(backend, now);
   }
   bool may_send(const gateway::BackendId& backend, MonotonicTime now) const override;
   void note_send(const gateway::BackendId& backend, MonotonicTime now) override;
@@ -63,12 +63,12 @@
   void note_answer(const gateway::BackendAnswer& answer) override;
 
   /// A life of a back end has come to be known.
-  void note_known(const gateway::BackendId& backend) {
-    backoffs_.note_known(backend, world_.clock.now());
+  void note_backend_added(const gateway::BackendId& backend) {
+    backoffs_.note_added(backend, dependencies_.clock.now());
   }
-  void take(const BackendNotice& notice);
+  void receive(const BackendNotice& notice);
   /// Tells a node that has just started all that is known.
-  void tell_all(const std::function<void(const BackendNotice&)>& send) const;
+  void send_all(const std::function<void(const BackendNotice&)>& send) const;
 
   const AdmissionStatistics& statistics() const { return statistics_; }
   void add_metrics(metrics::SampleSink& sink) const;
@@ -78,10 +78,10 @@
   void note_leaving(const gateway::BackendId& backend);
   void log(std::string_view message, const gateway::BackendId& backend, std::string_view source,
            Duration span) const;
-  Duration spread(Duration span) const;
+  Duration jitter(Duration span) const;
 
-  World world_;
-  std::function<void(const BackendNotice&)> tell_all_;
+  Dependencies dependencies_;
+  std::function<void(const BackendNotice&)> broadcast_;
   BackoffTable backoffs_;
   AdmissionStatistics statistics_;
 };
--- a/src/admission/backoff_table.cc
+++ b/src/admission/backoff_table.cc
@@ -6,7 +6,8 @@
 
 namespace ochrespring::admission {
 
-bool BackoffTable::note(const gateway::BackendId& backend, Duration span, MonotonicTime now) {
+bool BackoffTable::note_backoff(const gateway::BackendId& backend, Duration span,
+                                MonotonicTime now) {
   if (span <= Duration::zero()) {
     return false;
   }
@@ -14,7 +15,7 @@
   Entry& entry = entries_[backend];
   const MonotonicTime until = now + span;
   if (gateway::may_be_reborn(backend)) {
-    last_pauses_[std::string(gateway::name_of(backend))] = {.heard = now, .until = until};
+    last_backoffs_[std::string(gateway::name_of(backend))] = {.received_at = now, .until = until};
   }
   if (until <= entry.until) {
     return false;
@@ -23,19 +24,19 @@
   return true;
 }
 
-void BackoffTable::note_known(const gateway::BackendId& backend, MonotonicTime now) {
-  const auto found = last_pauses_.find(std::string(gateway::name_of(backend)));
-  if (found == last_pauses_.end() || now - found->second.heard > kRegistrationLag) {
+void BackoffTable::note_added(const gateway::BackendId& backend, MonotonicTime now) {
+  const auto found = last_backoffs_.find(std::string(gateway::name_of(backend)));
+  if (found == last_backoffs_.end() || now - found->second.received_at > kRegistrationLag) {
     return;
   }
-  const MonotonicTime until = std::min(found->second.until, now + kMostInherited);
+  const MonotonicTime until = std::min(found->second.until, now + kMaxInheritedBackoff);
   Entry& entry = entries_[backend];
   if (until > entry.until) {
     entry = {.until = until};
   }
 }
 
-bool BackoffTable::is_paused(const gateway::BackendId& backend, MonotonicTime now) const {
+bool BackoffTable::is_backing_off(const gateway::BackendId& backend, MonotonicTime now) const {
   const auto found = entries_.find(backend);
   return found != entries_.end() && now < found->second.until;
 }
@@ -49,11 +50,11 @@
   if (now < entry.until) {
     return entry.until - now;
   }
-  const bool recovers = now < entry.until + kRecovery;
-  if (!recovers || entry.sent < entry.window) {
+  const bool recovering = now < entry.until + kRecoveryPeriod;
+  if (!recovering || entry.sent < entry.window) {
     return Duration::zero();
   }
-  return std::max(Duration::zero(), entry.last_sent + kProbePause - now);
+  return std::max(Duration::zero(), entry.last_sent + kProbeInterval - now);
 }
 
 void BackoffTable::note_send(const gateway::BackendId& backend, MonotonicTime now) {
@@ -71,14 +72,14 @@
     return false;
   }
   found->second.window *= 2;
-  if (found->second.window < kFullWindow) {
+  if (found->second.window < kRecoveredWindow) {
     return false;
   }
   entries_.erase(found);
   return true;
 }
 
-std::size_t BackoffTable::pause_count(MonotonicTime now) const {
+std::size_t BackoffTable::active_count(MonotonicTime now) const {
   return static_cast<std::size_t>(
       std::count_if(entries_.begin(), entries_.end(),
                     [now](const auto& entry) { return entry.second.until > now; }));
@@ -91,10 +92,11 @@
     return;
   }
   std::erase_if(entries_,
-                [now](const auto& entry) { return now >= entry.second.until + kRecovery; });
-  std::erase_if(last_pauses_,
-                [now](const auto& pause) { return now - pause.second.heard > kRegistrationLag; });
-  prune_at_ = std::max(kLeastPrune, 2 * entries_.size());
+                [now](const auto& entry) { return now >= entry.second.until + kRecoveryPeriod; });
+  std::erase_if(last_backoffs_, [now](const auto& backoff) {
+    return now - backoff.second.received_at > kRegistrationLag;
+  });
+  prune_at_ = std::max(kMinPruneSize, 2 * entries_.size());
 }
 
 }  // namespace ochrespring::admission
--- a/src/admission/backoff_table.h
+++ b/src/admission/backoff_table.h
@@ -23,7 +23,7 @@
  public:
   /// The back end asks for a pause of `span` from `now` on; returns whether it ends later than what
   /// was known.
-  bool note(const gateway::BackendId& backend, Duration span, MonotonicTime now);
+  bool note_backoff(const gateway::BackendId& backend, Duration span, MonotonicTime now);
   /// Whether a request may be sent now, as far as pauses go.
   bool has_room(const gateway::BackendId& backend, MonotonicTime now) const {
     return time_to_room(backend, now) == Duration::zero();
@@ -34,34 +34,34 @@
   bool note_good_answer(const gateway::BackendId& backend, MonotonicTime sent);
 
   /// A life of a back end has come to be known: see above.
-  void note_known(const gateway::BackendId& backend, MonotonicTime now);
+  void note_added(const gateway::BackendId& backend, MonotonicTime now);
   /// Whether the back end has asked for nothing, as yet.
-  bool is_paused(const gateway::BackendId& backend, MonotonicTime now) const;
+  bool is_backing_off(const gateway::BackendId& backend, MonotonicTime now) const;
   /// What has_room() waits for; zero: nothing.
   Duration time_to_room(const gateway::BackendId& backend, MonotonicTime now) const;
   /// All that have no room now.
   template <class Visit>
-  void for_each_closed(MonotonicTime now, const Visit& visit) const {
+  void for_each_without_room(MonotonicTime now, const Visit& visit) const {
     for (const auto& [backend, entry] : entries_) {
       if (time_to_room(entry, now) > Duration::zero()) {
         visit(backend);
       }
     }
   }
-  std::size_t pause_count(MonotonicTime now) const;
+  std::size_t active_count(MonotonicTime now) const;
 
  private:
   /// Answered so often, a back end is believed to be well.
-  static constexpr std::uint32_t kFullWindow = 8;
+  static constexpr std::uint32_t kRecoveredWindow = 8;
   /// A request whose answer does not come does not keep the back end closed for longer.
-  static constexpr Duration kProbePause{std::chrono::milliseconds(100)};
+  static constexpr Duration kProbeInterval{std::chrono::milliseconds(100)};
   /// The back end has had requests for so long since its pause, or nobody has asked for it.
-  static constexpr Duration kRecovery{std::chrono::seconds(2)};
-  static constexpr std::size_t kLeastPrune = 1024;
+  static constexpr Duration kRecoveryPeriod{std::chrono::seconds(2)};
+  static constexpr std::size_t kMinPruneSize = 1024;
   /// A back end that has started again is registered within this time of its first answers.
   static constexpr Duration kRegistrationLag{std::chrono::seconds(3)};
   /// Of a pause that another life may have asked for: then that one is asked itself.
-  static constexpr Duration kMostInherited{std::chrono::seconds(10)};
+  static constexpr Duration kMaxInheritedBackoff{std::chrono::seconds(10)};
 
   struct Entry {
     MonotonicTime until{};
@@ -74,14 +74,14 @@
   void prune(MonotonicTime now);
 
   /// The last pause that was asked for under a name.
-  struct LastPause {
-    MonotonicTime heard{};
+  struct LastBackoff {
+    MonotonicTime received_at{};
     MonotonicTime until{};
   };
 
   std::map<gateway::BackendId, Entry> entries_;
-  std::map<std::string, LastPause> last_pauses_;  ///< By name of back ends that have lives.
-  std::size_t prune_at_ = kLeastPrune;            ///< Size at which ended entries are dropped.
+  std::map<std::string, LastBackoff> last_backoffs_;  ///< By name of back ends that have lives.
+  std::size_t prune_at_ = kMinPruneSize;              ///< Size at which ended entries are dropped.
 };
 
 }  // namespace ochrespring::admission
--- a/src/admission/tests/admission_control_test.cc
+++ b/src/admission/tests/admission_control_test.cc
@@ -31,16 +31,17 @@
                                    .tell = [](const auto&, const auto&) {},
                                    .ask = [](const auto&, const auto&) {},
                                    .reply = [](const auto&, const auto&) {}}};
-  std::vector<BackendNotice> told;
+  std::vector<BackendNotice> broadcast;
   AdmissionControl admission{{time, random, logger, fleet, loads, limiter},
-                             [this](const BackendNotice& notice) { told.push_back(notice); }};
+                             [this](const BackendNotice& notice) { broadcast.push_back(notice); }};
 
   AdmissionFixture() {
     time.run_until(time.now() + 100s);
     for (const char* id : {"a@1", "b@1"}) {
       register_backend(id);
     }
-    fleet.on_added([this](const gateway::Backend& backend) { admission.note_known(backend.id); });
+    fleet.on_added(
+        [this](const gateway::Backend& backend) { admission.note_backend_added(backend.id); });
     fleet.on_removed([this](const gateway::Backend& backend) {
       loads.forget(backend.id);
       limiter.forget(backend.id);
@@ -53,13 +54,13 @@
     backend.address = Endpoint(id + ":1");
     fleet.put(backend);
   }
-  void hear_backoff(const char* id, Duration span) {
+  void receive_backoff(const char* id, Duration span) {
     gateway::BackendStatement statement;
     statement.backoff = {.kind = Kind::kAsked, .span = span, .text = {}};
     statement.not_run = true;
     admission.note_answer({gateway::BackendId(id), time.now(), statement});
   }
-  void hear_leaving(const char* id) {
+  void receive_departure(const char* id) {
     gateway::BackendStatement statement;
     statement.leaving = true;
     admission.note_answer({gateway::BackendId(id), time.now(), statement});
@@ -74,7 +75,7 @@
 
 TEST_CASE_FIXTURE(AdmissionFixture,
                   "a pause outlives the registration, and another life begins anew") {
-  hear_backoff("a@1", 6s);
+  receive_backoff("a@1", 6s);
   advance(4s);
   fleet.remove(gateway::BackendId("a@1"));
   register_backend("a@1");
@@ -88,14 +89,14 @@
 TEST_CASE_FIXTURE(AdmissionFixture,
                   "a pause that a new life asks for before it is registered binds what it gets "
                   "under its own id") {
-  hear_backoff("a@1", 60s);
+  receive_backoff("a@1", 60s);
   advance(300ms);
   fleet.remove(gateway::BackendId("a@1"));
   register_backend("a@2");
   CHECK_FALSE(has_room("a@2"));
   advance(10s);
   CHECK(has_room("a@2"));
-  hear_backoff("b@1", 2s);
+  receive_backoff("b@1", 2s);
   register_backend("b@2");
   register_backend("c@1");
   CHECK_FALSE(has_room("b@2"));
@@ -106,7 +107,7 @@
 
 TEST_CASE_FIXTURE(AdmissionFixture,
                   "leaving outlives the registration, whatever the store says after it") {
-  hear_leaving("a@1");
+  receive_departure("a@1");
   fleet.remove(gateway::BackendId("a@1"));
   register_backend("a@1");
   register_backend("a@2");
@@ -116,49 +117,49 @@
 }
 
 TEST_CASE_FIXTURE(AdmissionFixture, "others are told once of a pause, and once of leaving") {
-  hear_backoff("a@1", 3s);
-  hear_backoff("a@1", 2s);
-  hear_leaving("b@1");
-  hear_leaving("b@1");
-  REQUIRE(told.size() == 2);
-  CHECK(told[0].backoff == 3s);
-  CHECK(told[1].leaving);
+  receive_backoff("a@1", 3s);
+  receive_backoff("a@1", 2s);
+  receive_departure("b@1");
+  receive_departure("b@1");
+  REQUIRE(broadcast.size() == 2);
+  CHECK(broadcast[0].backoff == 3s);
+  CHECK(broadcast[1].leaving);
 }
 
 TEST_CASE_FIXTURE(AdmissionFixture,
                   "a pause that another node was asked for makes a back end a worse choice, and "
                   "does not close it") {
-  admission.take({gateway::BackendId("a@1"), false, 3s});
+  admission.receive({gateway::BackendId("a@1"), false, 3s});
   CHECK(has_room("a@1"));
   const gateway::BackendLoad* load = loads.find(gateway::BackendId("a@1"));
   REQUIRE(load != nullptr);
   CHECK(load->refusal_share(time.now()) >= 0.5);
   CHECK(load->refusal_share(time.now() + 3s) == 0);
-  hear_backoff("a@1", 2s);
-  CHECK(told.empty());
+  receive_backoff("a@1", 2s);
+  CHECK(broadcast.empty());
 }
 
 TEST_CASE_FIXTURE(AdmissionFixture,
                   "whatever pause another node tells of, it is believed for a while") {
-  for (const Duration told_pause : {Duration(-1s), Duration::max(), Duration::min()}) {
-    admission.take({gateway::BackendId("a@1"), false, told_pause});
+  for (const Duration reported_backoff : {Duration(-1s), Duration::max(), Duration::min()}) {
+    admission.receive({gateway::BackendId("a@1"), false, reported_backoff});
     CHECK(loads.of(gateway::BackendId("a@1")).refusal_share(time.now() + 61s) == 0);
   }
 }
 
 TEST_CASE_FIXTURE(AdmissionFixture, "leaving that another node tells of binds this one") {
-  admission.take({gateway::BackendId("a@1"), true, {}});
+  admission.receive({gateway::BackendId("a@1"), true, {}});
   CHECK(fleet.is_leaving(gateway::BackendId("a@1")));
-  hear_leaving("a@1");
-  CHECK(told.empty());
+  receive_departure("a@1");
+  CHECK(broadcast.empty());
 }
 
 TEST_CASE_FIXTURE(AdmissionFixture, "a node that has started is told what is in force") {
-  hear_backoff("a@1", 3s);
-  hear_leaving("b@1");
+  receive_backoff("a@1", 3s);
+  receive_departure("b@1");
   advance(1s);
   std::vector<BackendNotice> sent;
-  admission.tell_all([&](const BackendNotice& notice) { sent.push_back(notice); });
+  admission.send_all([&](const BackendNotice& notice) { sent.push_back(notice); });
   REQUIRE(sent.size() == 2);
   CHECK(sent[0].leaving);
   CHECK(sent[1].backoff == 2s);
@@ -168,8 +169,8 @@
                   "a forecast is the first moment at which neither a pause nor a limit is in the "
                   "way, and a little later") {
   CHECK_FALSE(admission.forecast(ServiceName("relay"), time.now()));
-  hear_backoff("a@1", 4s);
-  hear_backoff("b@1", 2s);
+  receive_backoff("a@1", 4s);
+  receive_backoff("b@1", 2s);
   for (int i = 0; i != 20; ++i) {
     const auto room = admission.forecast(ServiceName("relay"), time.now());
     REQUIRE(room);
@@ -192,13 +193,13 @@
 
 // In a large release each node that started was sent a notice for every server that drained.
 TEST_CASE("a node that starts is not told of what the store itself shows") {
-  AdmissionFixture world;
-  world.hear_leaving("a@1");
-  gateway::Backend draining = *world.fleet.find(gateway::BackendId("b@1"));
+  AdmissionFixture fixture;
+  fixture.receive_departure("a@1");
+  gateway::Backend draining = *fixture.fleet.find(gateway::BackendId("b@1"));
   draining.draining = true;
-  world.fleet.put(draining);
+  fixture.fleet.put(draining);
   std::vector<BackendNotice> sent;
-  world.admission.tell_all([&](const BackendNotice& notice) { sent.push_back(notice); });
+  fixture.admission.send_all([&](const BackendNotice& notice) { sent.push_back(notice); });
   REQUIRE(sent.size() == 1);
   CHECK(sent[0].backend.value() == "a@1");
 }
--- a/src/fuzzing/targets/node_datagrams.cc
+++ b/src/fuzzing/targets/node_datagrams.cc
@@ -85,8 +85,8 @@
                     .take_request = [this](const auto& told) { limiter.take(told); },
                     .take_reply = [this](const auto& told) { limiter.take(told); },
                     .tell_all = [this](const auto& send) { limiter.tell_all(send); }});
-    news.on_notices({.take = [this](const auto& told) { admission.take(told); },
-                     .tell_all = [this](const auto& send) { admission.tell_all(send); }});
+    news.on_notices({.take = [this](const auto& told) { admission.receive(told); },
+                     .tell_all = [this](const auto& send) { admission.send_all(send); }});
     news.on_profiles({.take = [this](const auto& told) { exchange.take(told); },
                       .take_to_relay = [this](const auto& told) { exchange.take_to_relay(told); },
                       .take_relayed = [this](const auto& told) { exchange.take(told); },
--- a/src/gateway_load/tests/load_fleet.cc
+++ b/src/gateway_load/tests/load_fleet.cc
@@ -23,7 +23,7 @@
 constexpr std::uint64_t kSharedPrompts = 12;
 /// Output tokens of a stream that counts as long: at least so many events to come.
 constexpr std::uint32_t kLongEvents = 4;
-/// After a node's last word, as PeerWork::kBelief.
+/// After a node's last word, as PeerWork::kReportLifetime.
 constexpr Duration kForgottenAfter = 2500ms;
 constexpr int kSampledCalls = 20'000;
 const ServiceName kService("llm");
--- a/src/gateway_node/gateway_node.cc
+++ b/src/gateway_node/gateway_node.cc
@@ -95,9 +95,9 @@
                [this](const Endpoint& address, std::function<void(http::ProbeResult)> done) {
                  client_.probe(address, kProbeTimeout, std::move(done));
                },
-           .tell = [this](const auto& news) { peer_news_.tell_crashes(news); },
-           .tell_zone = [this](const auto& news) { peer_news_.tell_zone_crashes(news); },
-           .ask_horizon = [this] { peer_news_.ask_for_horizon(); },
+           .broadcast = [this](const auto& news) { peer_news_.tell_crashes(news); },
+           .broadcast_to_zone = [this](const auto& news) { peer_news_.tell_zone_crashes(news); },
+           .request_horizon = [this] { peer_news_.ask_for_horizon(); },
            .node_count = [this] { return nodes_.count(); }}),
       rate_limiter_(
           {clock, loop, random, logger, fleet_, nodes_},
@@ -173,19 +173,20 @@
   watcher_.on_unjoined(
       [this](const auto& request, auto done) { views_.fetch_from(request, std::move(done)); });
   watcher_.on_duty([this] { return peer_news_.channel().reading_duty(); });
-  fleet_.on_added([this](const gateway::Backend& backend) { admission_.note_known(backend.id); });
+  fleet_.on_added(
+      [this](const gateway::Backend& backend) { admission_.note_backend_added(backend.id); });
   fleet_.on_removed([this](const gateway::Backend& backend) {
     loads_.forget(backend.id);
     peer_news_.forget(backend.id);
     profile_exchange_.forget(backend.id);
     client_.forget(backend.address);
-    quarantine_.note_gone(backend);
+    quarantine_.note_backend_removed(backend);
     rate_limiter_.forget(backend.id);
     gateway_.on_backend_gone(backend.id);
   });
   watcher_.on_current([this] {
     apply_limits();
-    quarantine_.on_store_answer();
+    quarantine_.on_store_available();
     learn_cached_parts();
     nodes_.admit_passed_over();
   });
@@ -219,20 +220,20 @@
 void GatewayNode::write_again() {
   registration_.rewrite();
   duties_.on_store_set_back();
-  quarantine_.on_store_set_back();
+  quarantine_.on_store_rolled_back();
 }
 
 void GatewayNode::connect_quarantine() {
   quarantine_.on_quarantined(
       [this](const gateway::RequestFingerprint& request) { gateway_.on_quarantined(request); });
   watcher_.on_other_key([this](const std::string& key, const std::optional<std::string>& value) {
-    quarantine_.take_stored(key, value);
+    quarantine_.apply_store_change(key, value);
   });
   peer_news_.on_crashes(
-      {.take = [this](const auto& news) { quarantine_.take(news); },
-       .take_to_relay = [this](const auto& news) { quarantine_.take_to_relay(news); },
-       .tell_all = [this](const auto& send) { quarantine_.tell_all(send); },
-       .take_horizon = [this](const auto& told) { quarantine_.take(told); },
+      {.take = [this](const auto& news) { quarantine_.receive(news); },
+       .take_to_relay = [this](const auto& news) { quarantine_.receive_for_relay(news); },
+       .tell_all = [this](const auto& send) { quarantine_.send_all(send); },
+       .take_horizon = [this](const auto& told) { quarantine_.receive(told); },
        .horizon = [this] { return quarantine_.horizon(); }});
   watcher_.on_first_listing([this] { quarantine_.on_first_listing(); });
   quarantine_.start();
@@ -244,8 +245,8 @@
        .take_request = [this](const auto& request) { rate_limiter_.take(request); },
        .take_reply = [this](const auto& reply) { rate_limiter_.take(reply); },
        .tell_all = [this](const auto& send) { rate_limiter_.tell_all(send); }});
-  peer_news_.on_notices({.take = [this](const auto& notice) { admission_.take(notice); },
-                         .tell_all = [this](const auto& send) { admission_.tell_all(send); }});
+  peer_news_.on_notices({.take = [this](const auto& notice) { admission_.receive(notice); },
+                         .tell_all = [this](const auto& send) { admission_.send_all(send); }});
 }
 
 void GatewayNode::connect_profiles() {
--- a/src/gateway_node/peer_channel.cc
+++ b/src/gateway_node/peer_channel.cc
@@ -136,7 +136,7 @@
   tell_every_node(leaving);
 }
 
-void PeerChannel::tell_crashes(const quarantine::CrashNews& news) {
+void PeerChannel::tell_crashes(const quarantine::CrashReportBatch& news) {
   tell_every_node(news);
 }
 
@@ -163,7 +163,7 @@
   tell_every_node(news);
 }
 
-void PeerChannel::tell_zone_crashes(const quarantine::CrashNews& news) {
+void PeerChannel::tell_zone_crashes(const quarantine::CrashReportBatch& news) {
   send_to(relays_.zone_members(), news);
 }
 
--- a/src/gateway_node/peer_channel.h
+++ b/src/gateway_node/peer_channel.h
@@ -37,9 +37,9 @@
   std::function<void(const peer_load::PartsRequest&)> parts_request;
   std::function<void(const ViewOffer&)> offer;
   std::function<void(const usage::UsageReport&)> usage;
-  std::function<void(const quarantine::CrashNews&)> crashes;
+  std::function<void(const quarantine::CrashReportBatch&)> crashes;
   /// As a relay: to be told to the nodes of its zone.
-  std::function<void(const quarantine::CrashNews&)> crashes_to_relay;
+  std::function<void(const quarantine::CrashReportBatch&)> crashes_to_relay;
   std::function<void(const quarantine::HorizonRequest&)> horizon_request{};
   std::function<void(const quarantine::HorizonReport&)> horizon_report{};
   std::function<void(const NodeLeaving&)> leaving;
@@ -95,7 +95,7 @@
   /// To every node, in a large fleet by its relays.
   void tell_leaving(const NodeLeaving& leaving);
   /// To every node, in a large fleet by its relays.
-  void tell_crashes(const quarantine::CrashNews& news);
+  void tell_crashes(const quarantine::CrashReportBatch& news);
   /// To every node, in a large fleet by its relays.
   void tell_limits(const rate_limit::LimitNews& news);
   /// To every node, in a large fleet by its relays.
@@ -107,7 +107,7 @@
     send_to(relays_.zone_members(), relayed);
   }
   /// As a relay: to the nodes of the zone.
-  void tell_zone_crashes(const quarantine::CrashNews& news);
+  void tell_zone_crashes(const quarantine::CrashReportBatch& news);
   /// To one node, which need not be known to this one.
   void send(const Endpoint& to, const PeerMessage& message);
 
@@ -134,7 +134,7 @@
   void take(const peer_load::PartsRequest& request) { handlers_.parts_request(request); }
   void take(const ViewOffer& offer) { handlers_.offer(offer); }
   void take(const usage::UsageReport& report) { handlers_.usage(report); }
-  void take(const quarantine::CrashNews& news) { handlers_.crashes(news); }
+  void take(const quarantine::CrashReportBatch& news) { handlers_.crashes(news); }
   void take(const CrashNewsToRelay& told) { handlers_.crashes_to_relay(told.message); }
   void take(const quarantine::HorizonRequest& told) { handlers_.horizon_request(told); }
   void take(const quarantine::HorizonReport& told) { handlers_.horizon_report(told); }
--- a/src/gateway_node/peer_message.h
+++ b/src/gateway_node/peer_message.h
@@ -49,7 +49,7 @@
 };
 
 using ReportToRelay = ToRelay<peer_load::WorkReport>;
-using CrashNewsToRelay = ToRelay<quarantine::CrashNews>;
+using CrashNewsToRelay = ToRelay<quarantine::CrashReportBatch>;
 using UpdateToRelay = ToRelay<discovery::ViewUpdate>;
 using NodeLeavingToRelay = ToRelay<NodeLeaving>;
 using LimitNewsToRelay = ToRelay<rate_limit::LimitNews>;
@@ -67,15 +67,14 @@
 /// Each stands for itself: it may be lost, doubled or late. The place of an alternative is its name
 /// on the wire: builds that run side by side do not read what they do not know, so a message whose
 /// form changes gets a new place at the end.
-using PeerMessage =
-    std::variant<peer_load::WorkReport, FormerMessage<1>, peer_load::PartsRequest, ViewOffer,
-                 ReportToRelay, peer_load::RelayedReport, FormerMessage<6>, usage::UsageReport,
-                 quarantine::CrashNews, CrashNewsToRelay, discovery::ViewUpdate, UpdateToRelay,
-                 NodeLeaving, NodeLeavingToRelay, rate_limit::LimitNews, LimitNewsToRelay,
-                 rate_limit::PermitRequest, rate_limit::PermitReply, admission::BackendNotice,
-                 BackendNoticeToRelay, quarantine::HorizonRequest, quarantine::HorizonReport,
-                 discovery::PositionNews, discovery::HistoryNews, engine_profiles::ProfileNews,
-                 ProfileNewsToRelay, engine_profiles::RelayedProfileNews>;
+using PeerMessage = std::variant<
+    peer_load::WorkReport, FormerMessage<1>, peer_load::PartsRequest, ViewOffer, ReportToRelay,
+    peer_load::RelayedReport, FormerMessage<6>, usage::UsageReport, quarantine::CrashReportBatch,
+    CrashNewsToRelay, discovery::ViewUpdate, UpdateToRelay, NodeLeaving, NodeLeavingToRelay,
+    rate_limit::LimitNews, LimitNewsToRelay, rate_limit::PermitRequest, rate_limit::PermitReply,
+    admission::BackendNotice, BackendNoticeToRelay, quarantine::HorizonRequest,
+    quarantine::HorizonReport, discovery::PositionNews, discovery::HistoryNews,
+    engine_profiles::ProfileNews, ProfileNewsToRelay, engine_profiles::RelayedProfileNews>;
 
 /// Names of the alternatives, in order, for metrics.
 constexpr std::array<const char*, std::variant_size_v<PeerMessage>> kPeerMessageNames{
--- a/src/gateway_node/peer_news.cc
+++ b/src/gateway_node/peer_news.cc
@@ -39,15 +39,15 @@
                make_handlers(), std::move(send)),
       peer_work_([this](const gateway::BackendId& engine) { return world_.loads.own(engine); }),
       announcer_(
-          world.timers, {.node = world.nodes.self().node, .life = world.random.next()},
+          world.timers, {.node = world.nodes.self().node, .incarnation = world.random.next()},
           [this](const gateway::BackendId& engine) { return world_.loads.own(engine); },
           [this](const peer_load::WorkReport& report) { channel_.tell_work(report); }),
       relay_(
           world.timers,
           {.node = world.nodes.self().node,
-           .life = world.random.next(),
-           .gather = options_.relay_gather,
-           .repeat = false},
+           .incarnation = world.random.next(),
+           .batch_window = options_.relay_gather,
+           .refresh = false},
           [this](const gateway::BackendId& engine) { return work_of_all(engine); },
           [this](const peer_load::WorkReport& sums) { channel_.tell_relayed_work(sums); }),
       offer_timer_(world.timers),
@@ -71,12 +71,12 @@
   });
   loads.on_end([this](const gateway::BackendId& id, bool failed) {
     if (is_engine(id)) {
-      announcer_.note_end(id, failed);
+      announcer_.note_attempt_end(id, failed);
     }
   });
   loads.on_silence([this](const gateway::BackendId& id) { announcer_.note_silence(id); });
   loads.on_prompt([this](const gateway::BackendId& id, const std::vector<std::uint64_t>& keys) {
-    announcer_.note_parts(id, keys);
+    announcer_.note_prefilled_parts(id, keys);
   });
 }
 
@@ -100,9 +100,12 @@
       .parts_request = [this](const peer_load::PartsRequest& request) { tell_parts(request); },
       .offer = [this](const ViewOffer& offer) { on_offer_(offer.view_address); },
       .usage = [this](const usage::UsageReport& report) { call_if_set(usage_, report); },
-      .crashes = [this](const quarantine::CrashNews& news) { call_if_set(crashes_.take, news); },
+      .crashes =
+          [this](const quarantine::CrashReportBatch& news) { call_if_set(crashes_.take, news); },
       .crashes_to_relay =
-          [this](const quarantine::CrashNews& news) { call_if_set(crashes_.take_to_relay, news); },
+          [this](const quarantine::CrashReportBatch& news) {
+            call_if_set(crashes_.take_to_relay, news);
+          },
       .horizon_request = [this](const quarantine::HorizonRequest& request) { answer(request); },
       .horizon_report =
           [this](const quarantine::HorizonReport& told) {
@@ -161,7 +164,7 @@
     if (work.silent) {
       load.note_told_silence(now);
     }
-    for (const std::uint64_t key : work.parts_read) {
+    for (const std::uint64_t key : work.prefilled_parts) {
       world_.loads.note_cached(work.engine, key, now);
     }
   }
@@ -174,9 +177,9 @@
 }
 
 void PeerNews::tell_parts(const peer_load::PartsRequest& request) {
-  announcer_.tell_all(world_.loads, world_.clock.now(), [&](const peer_load::WorkReport& report) {
-    channel_.send(request.reply_to, report);
-  });
+  announcer_.send_cached_parts(
+      world_.loads, world_.clock.now(),
+      [&](const peer_load::WorkReport& report) { channel_.send(request.reply_to, report); });
   tell_all_crashes(request.reply_to);
   if (limits_.tell_all) {
     limits_.tell_all(
@@ -194,7 +197,7 @@
 
 void PeerNews::tell_all_crashes(const Endpoint& to) {
   if (crashes_.tell_all) {
-    crashes_.tell_all([&](const quarantine::CrashNews& news) { channel_.send(to, news); });
+    crashes_.tell_all([&](const quarantine::CrashReportBatch& news) { channel_.send(to, news); });
   }
   if (crashes_.horizon) {
     channel_.send(to, crashes_.horizon());
--- a/src/gateway_node/peer_news.h
+++ b/src/gateway_node/peer_news.h
@@ -73,16 +73,19 @@
   }
   /// News of requests under which servers have ended; `to_relay`: to be passed on to the zone.
   struct CrashHandlers {
-    std::function<void(const quarantine::CrashNews&)> take;
-    std::function<void(const quarantine::CrashNews&)> take_to_relay;
+    std::function<void(const quarantine::CrashReportBatch&)> take;
+    std::function<void(const quarantine::CrashReportBatch&)> take_to_relay;
     /// A node that has started is to be told all, by calls of `send`.
-    std::function<void(const std::function<void(const quarantine::CrashNews&)>& send)> tell_all;
+    std::function<void(const std::function<void(const quarantine::CrashReportBatch&)>& send)>
+        tell_all;
     std::function<void(const quarantine::HorizonReport&)> take_horizon;
     std::function<quarantine::HorizonReport()> horizon;
   };
   void on_crashes(CrashHandlers handlers) { crashes_ = std::move(handlers); }
-  void tell_crashes(const quarantine::CrashNews& news) { channel_.tell_crashes(news); }
-  void tell_zone_crashes(const quarantine::CrashNews& news) { channel_.tell_zone_crashes(news); }
+  void tell_crashes(const quarantine::CrashReportBatch& news) { channel_.tell_crashes(news); }
+  void tell_zone_crashes(const quarantine::CrashReportBatch& news) {
+    channel_.tell_zone_crashes(news);
+  }
   /// News of back ends' rate limits, and permits for sends to them.
   struct LimitHandlers {
     std::function<void(const rate_limit::LimitNews&)> take;
--- a/src/gateway_node/tests/crash_fleet.h
+++ b/src/gateway_node/tests/crash_fleet.h
@@ -388,7 +388,8 @@
   std::size_t nodes_with_quarantined(std::size_t requests) const {
     return static_cast<std::size_t>(
         std::count_if(nodes.begin(), nodes.end(), [&](const auto& node) {
-          return node->quarantine.ledger().count(quarantine::Standing::kQuarantined) == requests;
+          return node->quarantine.ledger().count(quarantine::SuspicionLevel::kQuarantined) ==
+                 requests;
         }));
   }
 
@@ -737,9 +738,9 @@
           {.key_prefix = fleet.codec.layout().quarantine_prefix, .node = record.node},
           {.probe = [this, &fleet](const Endpoint& address,
                                    auto done) { fleet.probe(*this, address, std::move(done)); },
-           .tell = [this](const auto& told) { news.tell_crashes(told); },
-           .tell_zone = [this](const auto& told) { news.tell_zone_crashes(told); },
-           .ask_horizon = [this] { news.ask_for_horizon(); },
+           .broadcast = [this](const auto& told) { news.tell_crashes(told); },
+           .broadcast_to_zone = [this](const auto& told) { news.tell_zone_crashes(told); },
+           .request_horizon = [this] { news.ask_for_horizon(); },
            .node_count = [this] { return nodes.count(); }}),
       rate_limiter(
           {clock, machine, limiter_random, fleet.logger, view, nodes},
@@ -769,28 +770,30 @@
   for (std::uint32_t i = 0; i != fleet.options().drawn; ++i) {
     random.next();
   }
-  view.on_added([this](const gateway::Backend& backend) { admission.note_known(backend.id); });
+  view.on_added(
+      [this](const gateway::Backend& backend) { admission.note_backend_added(backend.id); });
   view.on_removed([this](const gateway::Backend& backend) {
     loads.forget(backend.id);
     news.forget(backend.id);
-    quarantine.note_gone(backend);
+    quarantine.note_backend_removed(backend);
     rate_limiter.forget(backend.id);
   });
   quarantine.on_quarantined([this](const auto& request) { gateway.on_quarantined(request); });
   watcher.on_other_key(
-      [this](const auto& key, const auto& value) { quarantine.take_stored(key, value); });
-  news.on_crashes({.take = [this](const auto& told) { quarantine.take(told); },
-                   .take_to_relay = [this](const auto& told) { quarantine.take_to_relay(told); },
-                   .tell_all = [this](const auto& send) { quarantine.tell_all(send); },
-                   .take_horizon = [this](const auto& told) { quarantine.take(told); },
-                   .horizon = [this] { return quarantine.horizon(); }});
+      [this](const auto& key, const auto& value) { quarantine.apply_store_change(key, value); });
+  news.on_crashes(
+      {.take = [this](const auto& told) { quarantine.receive(told); },
+       .take_to_relay = [this](const auto& told) { quarantine.receive_for_relay(told); },
+       .tell_all = [this](const auto& send) { quarantine.send_all(send); },
+       .take_horizon = [this](const auto& told) { quarantine.receive(told); },
+       .horizon = [this] { return quarantine.horizon(); }});
   watcher.on_first_listing([this] { quarantine.on_first_listing(); });
   news.on_limits({.take = [this](const auto& told) { rate_limiter.take(told); },
                   .take_request = [this](const auto& told) { rate_limiter.take(told); },
                   .take_reply = [this](const auto& told) { rate_limiter.take(told); },
                   .tell_all = [this](const auto& send) { rate_limiter.tell_all(send); }});
-  news.on_notices({.take = [this](const auto& told) { admission.take(told); },
-                   .tell_all = [this](const auto& send) { admission.tell_all(send); }});
+  news.on_notices({.take = [this](const auto& told) { admission.receive(told); },
+                   .tell_all = [this](const auto& send) { admission.send_all(send); }});
   watcher.on_store_state([this](bool reachable) { news.on_store_state(reachable); });
   watcher.on_lost_without_view([this, &fleet](auto done) {
     fleet.fetch_view(*this, {offered_at, {}}, std::move(done));
@@ -800,7 +803,7 @@
   });
   watcher.on_duty([this] { return news.channel().reading_duty(); });
   watcher.on_current([this] {
-    quarantine.on_store_answer();
+    quarantine.on_store_available();
     if (!std::exchange(asked, true)) {
       news.ask_for_parts();
     }
--- a/src/gateway_node/tests/crashing_request_test.cc
+++ b/src/gateway_node/tests/crashing_request_test.cc
@@ -237,7 +237,7 @@
   fleet.advance(20s);
   CHECK(fleet.quarantine_ends() == 0);
   for (const auto& node : fleet.nodes) {
-    CHECK(node->quarantine.ledger().count(quarantine::Standing::kSuspected) <= 2);
+    CHECK(node->quarantine.ledger().count(quarantine::SuspicionLevel::kSuspected) <= 2);
   }
 }
 
--- a/src/gateway_node/tests/lost_memory_test.cc
+++ b/src/gateway_node/tests/lost_memory_test.cc
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr Duration kComplete = quarantine::CrashLedgerOptions().suspicion_life;
+constexpr Duration kComplete = quarantine::CrashLedgerOptions().suspicion_ttl;
 
 std::size_t count_complete(const CrashFleet& fleet) {
   return static_cast<std::size_t>(
@@ -55,7 +55,7 @@
   fleet.repeat("/once/x", "guilty", 700ms, 1s);
   fleet.advance(3s);
   const std::size_t suspected =
-      fleet.nodes.front()->quarantine.ledger().count(quarantine::Standing::kSuspected);
+      fleet.nodes.front()->quarantine.ledger().count(quarantine::SuspicionLevel::kSuspected);
   REQUIRE(suspected == 1);
   for (std::size_t i = 0; i != fleet.nodes.size(); ++i) {
     fleet.restart(i);
@@ -64,7 +64,7 @@
   fleet.advance(6s);
   CHECK(count_complete(fleet) == fleet.nodes.size());
   for (const auto& node : fleet.nodes) {
-    CHECK(node->quarantine.ledger().count(quarantine::Standing::kSuspected) == suspected);
+    CHECK(node->quarantine.ledger().count(quarantine::SuspicionLevel::kSuspected) == suspected);
   }
 }
 
@@ -102,6 +102,6 @@
   fleet.advance(12s);
   CHECK(count_complete(fleet) == fleet.nodes.size());
   for (const auto& node : fleet.nodes) {
-    CHECK(node->quarantine.ledger().count(quarantine::Standing::kSuspected) == 1);
+    CHECK(node->quarantine.ledger().count(quarantine::SuspicionLevel::kSuspected) == 1);
   }
 }
--- a/src/gateway_node/tests/peer_channel_test.cc
+++ b/src/gateway_node/tests/peer_channel_test.cc
@@ -49,7 +49,7 @@
                  .usage = [this](const auto&) { ++usage_reports; },
                  .crashes = [this](const auto&) { ++crash_news; },
                  .crashes_to_relay =
-                     [this](const quarantine::CrashNews& news) {
+                     [this](const quarantine::CrashReportBatch& news) {
                        ++crash_news;
                        channel.tell_zone_crashes(news);
                      },
@@ -126,7 +126,7 @@
   return {NodeId("a0"),
           1,
           sequence,
-          {{.engine = gateway::BackendId("e"), .ended = 1, .parts_read = {}}}};
+          {{.engine = gateway::BackendId("e"), .ended = 1, .prefilled_parts = {}}}};
 }
 
 }  // namespace
--- a/src/peer_load/datagram_socket.cc
+++ b/src/peer_load/datagram_socket.cc
@@ -13,9 +13,9 @@
 
 namespace {
 
-constexpr std::size_t kLargestDatagram = 8192;
+constexpr std::size_t kMaxDatagramBytes = 8192;
 /// Datagrams taken in one turn of the loop.
-constexpr int kDatagramsPerTurn = 64;
+constexpr int kMaxDatagramsPerRead = 64;
 
 }  // namespace
 
@@ -34,8 +34,8 @@
 
   static void on_readable(h2o_socket_t* socket, const char* /*error*/) {
     auto* state = static_cast<State*>(socket->data);
-    std::array<char, kLargestDatagram> buffer;
-    for (int i = 0; i != kDatagramsPerTurn; ++i) {
+    std::array<char, kMaxDatagramBytes> buffer;
+    for (int i = 0; i != kMaxDatagramsPerRead; ++i) {
       const ssize_t size =
           ::recv(h2o_socket_get_fd(socket), buffer.data(), buffer.size(), MSG_DONTWAIT);
       if (size < 0) {
--- a/src/peer_load/peer_work.cc
+++ b/src/peer_load/peer_work.cc
@@ -9,7 +9,7 @@
 namespace {
 
 /// Takes off what was added before, or at most all.
-void take_off(EngineWorkload& sum, const EngineWorkload& work) {
+void subtract(EngineWorkload& sum, const EngineWorkload& work) {
   sum.requests -= std::min(sum.requests, work.requests);
   sum.unread_tokens -= std::min(sum.unread_tokens, work.unread_tokens);
 }
@@ -19,24 +19,25 @@
 void PeerWork::apply(const WorkReport& report, MonotonicTime now) {
   for (const EngineWork& work : report.engines) {
     Engine& engine = direct_[work.engine];
-    drop_outdated(engine, now);
+    drop_expired(engine, now);
     if (engine.nodes.empty()) {
-      engine.oldest = now;
+      engine.oldest_report_at = now;
     }
-    Told& told = engine.nodes[report.node];
+    NodeReport& latest = engine.nodes[report.node];
     // Datagrams may overtake each other.
-    if (told.life == report.life && told.sequence > report.sequence) {
+    if (latest.incarnation == report.incarnation && latest.sequence > report.sequence) {
       continue;
     }
-    take_off(engine.sum, told.work);
-    told = {report.life, report.sequence, {work.requests, work.unread_tokens}, now};
-    engine.sum += told.work;
+    subtract(engine.sum, latest.work);
+    latest = {
+        report.incarnation, report.sequence, {work.requests, work.pending_prefill_tokens}, now};
+    engine.sum += latest.work;
   }
 }
 
 void PeerWork::apply_relayed(const WorkReport& sums, MonotonicTime now) {
   for (const EngineWork& work : sums.engines) {
-    relayed_[work.engine] = {{work.requests, work.unread_tokens}, now};
+    relayed_[work.engine] = {{work.requests, work.pending_prefill_tokens}, now};
   }
 }
 
@@ -57,13 +58,13 @@
   if (found == direct_.end()) {
     return {};
   }
-  if (now - found->second.oldest <= kBelief) {
+  if (now - found->second.oldest_report_at <= kReportLifetime) {
     return found->second.sum;
   }
   EngineWorkload sum;
-  for (const auto& [node, told] : found->second.nodes) {
-    if (now - told.at <= kBelief) {
-      sum += told.work;
+  for (const auto& [node, latest] : found->second.nodes) {
+    if (now - latest.received_at <= kReportLifetime) {
+      sum += latest.work;
     }
   }
   return sum;
@@ -72,30 +73,30 @@
 EngineWorkload PeerWork::relayed_work_at(const gateway::BackendId& engine,
                                          MonotonicTime now) const {
   const auto found = relayed_.find(engine);
-  if (found == relayed_.end() || now - found->second.at > kBelief) {
+  if (found == relayed_.end() || now - found->second.received_at > kReportLifetime) {
     return {};
   }
   EngineWorkload others = found->second.work;
   if (own_) {
-    take_off(others, own_(engine));
+    subtract(others, own_(engine));
   }
   return others;
 }
 
-void PeerWork::drop_outdated(Engine& engine, MonotonicTime now) {
-  if (engine.nodes.empty() || now - engine.oldest <= kBelief) {
+void PeerWork::drop_expired(Engine& engine, MonotonicTime now) {
+  if (engine.nodes.empty() || now - engine.oldest_report_at <= kReportLifetime) {
     return;
   }
-  engine.oldest = now;
+  engine.oldest_report_at = now;
   std::erase_if(engine.nodes, [&](const auto& entry) {
-    const Told& told = entry.second;
-    const bool outdated = now - told.at > kBelief;
-    if (outdated) {
-      take_off(engine.sum, told.work);
+    const NodeReport& latest = entry.second;
+    const bool expired = now - latest.received_at > kReportLifetime;
+    if (expired) {
+      subtract(engine.sum, latest.work);
     } else {
-      engine.oldest = std::min(engine.oldest, told.at);
+      engine.oldest_report_at = std::min(engine.oldest_report_at, latest.received_at);
     }
-    return outdated;
+    return expired;
   });
 }
 
--- a/src/peer_load/peer_work.h
+++ b/src/peer_load/peer_work.h
@@ -16,11 +16,11 @@
 /// larger one counts.
 ///
 /// Pure; one loop. A report counts until a newer one of the same node names the engine, or for
-/// `kBelief`: a node that died or was cut off tells no end of its work.
+/// `kReportLifetime`: a node that died or was cut off tells no end of its work.
 class PeerWork final : public gateway::PeerView {
  public:
   /// Two and a half times the period at which work that goes on is told again.
-  static constexpr Duration kBelief{std::chrono::milliseconds(2500)};
+  static constexpr Duration kReportLifetime{std::chrono::milliseconds(2500)};
 
   /// This node's own work at an engine, which the sums of relays include.
   using OwnWork = std::function<gateway::EngineWorkload(const gateway::BackendId& engine)>;
@@ -39,33 +39,33 @@
   gateway::EngineWorkload direct_work_at(const gateway::BackendId& engine, MonotonicTime now) const;
 
  private:
-  struct Told {
-    std::uint64_t life = 0;
+  struct NodeReport {
+    std::uint64_t incarnation = 0;
     std::uint64_t sequence = 0;
     gateway::EngineWorkload work;
-    MonotonicTime at{};
+    MonotonicTime received_at{};
   };
 
   /// What all nodes have told of one engine. The sum is kept up to date, so that neither a report
   /// nor a placement walks over all nodes.
   struct Engine {
-    std::map<NodeId, Told> nodes;
+    std::map<NodeId, NodeReport> nodes;
     gateway::EngineWorkload sum;
-    MonotonicTime oldest{};  ///< No entry is older.
+    MonotonicTime oldest_report_at{};  ///< No entry is older.
   };
 
-  struct Sum {
+  struct RelayedSum {
     gateway::EngineWorkload work;
-    MonotonicTime at{};
+    MonotonicTime received_at{};
   };
 
-  static void drop_outdated(Engine& engine, MonotonicTime now);
+  static void drop_expired(Engine& engine, MonotonicTime now);
   gateway::EngineWorkload relayed_work_at(const gateway::BackendId& engine,
                                           MonotonicTime now) const;
 
   OwnWork own_;
   std::map<gateway::BackendId, Engine> direct_;
-  std::map<gateway::BackendId, Sum> relayed_;
+  std::map<gateway::BackendId, RelayedSum> relayed_;
 };
 
 }  // namespace ochrespring::peer_load
--- a/src/peer_load/tests/peer_load_test.cc
+++ b/src/peer_load/tests/peer_load_test.cc
@@ -28,8 +28,8 @@
           sequence,
           {{.engine = BackendId("e"),
             .requests = requests,
-            .unread_tokens = tokens,
-            .parts_read = {}}}};
+            .pending_prefill_tokens = tokens,
+            .prefilled_parts = {}}}};
 }
 
 /// A node and what it announces of its own work.
@@ -38,7 +38,7 @@
   gateway::LoadTable loads;
   std::vector<WorkReport> sent;
   WorkAnnouncer announcer{time,
-                          {.node = NodeId("a"), .life = 7},
+                          {.node = NodeId("a"), .incarnation = 7},
                           [this](const BackendId& id) { return loads.own(id); },
                           [this](const WorkReport& report) { sent.push_back(report); }};
 };
@@ -63,9 +63,9 @@
   work.apply(make_report("a", 50, 2, 100), now);
   CHECK(work.work_at(BackendId("e"), now + 2s).requests == 2);
   CHECK(work.work_at(BackendId("e"), now + 3s).requests == 0);
-  WorkReport reborn = make_report("a", 1, 1, 10);
-  reborn.life = 2;
-  work.apply(reborn, now);
+  WorkReport restarted = make_report("a", 1, 1, 10);
+  restarted.incarnation = 2;
+  work.apply(restarted, now);
   CHECK(work.work_at(BackendId("e"), now).requests == 1);
 }
 
@@ -109,7 +109,7 @@
           expected[node % 5] = {requests, now};
           std::uint32_t sum = 0;
           for (const auto& [id, told] : expected) {
-            sum += now - told.second <= PeerWork::kBelief ? told.first : 0;
+            sum += now - told.second <= PeerWork::kReportLifetime ? told.first : 0;
           }
           RC_ASSERT(work.work_at(BackendId("e"), now).requests == sum);
           RC_ASSERT(work.work_at(BackendId("e"), now).unread_tokens == sum);
@@ -122,7 +122,7 @@
   PeerWork work;
   std::vector<WorkReport> sent;
   WorkAnnouncer relay(
-      time, {.node = NodeId("r"), .life = 7, .gather = 40ms, .repeat = false},
+      time, {.node = NodeId("r"), .incarnation = 7, .batch_window = 40ms, .refresh = false},
       [&](const BackendId& id) { return work.direct_work_at(id, time.now()); },
       [&](const WorkReport& sums) { sent.push_back(sums); });
   for (const char* node : {"a", "b"}) {
@@ -130,7 +130,7 @@
     report.engines[0].ended = 3;
     report.engines[0].failed = 1;
     report.engines[0].silent = true;
-    report.engines[0].parts_read = {77};
+    report.engines[0].prefilled_parts = {77};
     work.apply(report, time.now());
     relay.note_report(report);
   }
@@ -141,22 +141,23 @@
   REQUIRE(sent[0].engines.size() == 1);
   const EngineWork& sum = sent[0].engines[0];
   CHECK(sum.requests == 4);
-  CHECK(sum.unread_tokens == 600);
+  CHECK(sum.pending_prefill_tokens == 600);
   CHECK(sum.ended == 6);
   CHECK(sum.failed == 2);
   CHECK(sum.silent);
-  CHECK(sum.parts_read.size() == 2);
+  CHECK(sum.prefilled_parts.size() == 2);
 }
 
 TEST_CASE("a report on very many engines goes out in datagrams that others can take") {
-  AnnouncingNode world;
+  AnnouncingNode fixture;
   for (int i = 0; i != 770; ++i) {
     const BackendId engine("i-0123456789abcdef" + std::to_string(i));
-    world.announcer.note_parts(engine, {~std::uint64_t{1}, ~std::uint64_t{2}, ~std::uint64_t{3}});
+    fixture.announcer.note_prefilled_parts(
+        engine, {~std::uint64_t{1}, ~std::uint64_t{2}, ~std::uint64_t{3}});
   }
-  world.time.run_until(world.time.now() + 10ms);
+  fixture.time.run_until(fixture.time.now() + 10ms);
   std::size_t engines = 0;
-  for (const WorkReport& report : world.sent) {
+  for (const WorkReport& report : fixture.sent) {
     CHECK(wire::encode(report).size() < 8192);
     engines += report.engines.size();
   }
@@ -164,93 +165,95 @@
 }
 
 TEST_CASE("a node announces changes together, repeats what is not over, and then is quiet") {
-  AnnouncingNode world;
-  world.loads.on_change([&](const BackendId& id) { world.announcer.note_change(id); });
-  world.loads.begin(BackendId("e"), 40);
-  world.loads.begin(BackendId("e"), 60);
-  world.time.run_until(world.time.now() + 10ms);
-  REQUIRE(world.sent.size() == 1);
-  CHECK(world.sent[0].engines[0].requests == 2);
-  CHECK(world.sent[0].engines[0].unread_tokens == 100);
-  world.time.run_until(world.time.now() + 1100ms);
-  CHECK(world.sent.size() == 2);
-  world.loads.end(BackendId("e"), gateway::AttemptVerdict::kGood, world.time.now());
-  world.loads.end(BackendId("e"), gateway::AttemptVerdict::kGood, world.time.now());
-  world.time.run_until(world.time.now() + 10s);
-  CHECK(world.sent.back().engines[0].requests == 0);
-  CHECK(world.sent.size() == 3);
+  AnnouncingNode fixture;
+  fixture.loads.on_change([&](const BackendId& id) { fixture.announcer.note_change(id); });
+  fixture.loads.begin(BackendId("e"), 40);
+  fixture.loads.begin(BackendId("e"), 60);
+  fixture.time.run_until(fixture.time.now() + 10ms);
+  REQUIRE(fixture.sent.size() == 1);
+  CHECK(fixture.sent[0].engines[0].requests == 2);
+  CHECK(fixture.sent[0].engines[0].pending_prefill_tokens == 100);
+  fixture.time.run_until(fixture.time.now() + 1100ms);
+  CHECK(fixture.sent.size() == 2);
+  fixture.loads.end(BackendId("e"), gateway::AttemptVerdict::kGood, fixture.time.now());
+  fixture.loads.end(BackendId("e"), gateway::AttemptVerdict::kGood, fixture.time.now());
+  fixture.time.run_until(fixture.time.now() + 10s);
+  CHECK(fixture.sent.back().engines[0].requests == 0);
+  CHECK(fixture.sent.size() == 3);
 }
 
 TEST_CASE("a silent back end is told once, with its work") {
-  AnnouncingNode world;
-  world.loads.on_change([&](const BackendId& id) { world.announcer.note_change(id); });
-  world.loads.on_silence([&](const BackendId& id) { world.announcer.note_silence(id); });
-  world.loads.begin(BackendId("e"), 0);
-  world.loads.note_silence(BackendId("e"), world.time.now());
-  world.time.run_until(world.time.now() + 10ms);
-  world.loads.end(BackendId("e"), gateway::AttemptVerdict::kFailed, world.time.now());
-  world.time.run_until(world.time.now() + 10ms);
-  REQUIRE(world.sent.size() == 2);
-  CHECK(world.sent[0].engines[0].silent);
-  CHECK_FALSE(world.sent[1].engines[0].silent);
+  AnnouncingNode fixture;
+  fixture.loads.on_change([&](const BackendId& id) { fixture.announcer.note_change(id); });
+  fixture.loads.on_silence([&](const BackendId& id) { fixture.announcer.note_silence(id); });
+  fixture.loads.begin(BackendId("e"), 0);
+  fixture.loads.note_silence(BackendId("e"), fixture.time.now());
+  fixture.time.run_until(fixture.time.now() + 10ms);
+  fixture.loads.end(BackendId("e"), gateway::AttemptVerdict::kFailed, fixture.time.now());
+  fixture.time.run_until(fixture.time.now() + 10ms);
+  REQUIRE(fixture.sent.size() == 2);
+  CHECK(fixture.sent[0].engines[0].silent);
+  CHECK_FALSE(fixture.sent[1].engines[0].silent);
 }
 
 TEST_CASE("how attempts ended is told once") {
-  AnnouncingNode world;
-  world.loads.on_change([&](const BackendId& id) { world.announcer.note_change(id); });
-  world.loads.on_end(
-      [&](const BackendId& id, bool failed) { world.announcer.note_end(id, failed); });
+  AnnouncingNode fixture;
+  fixture.loads.on_change([&](const BackendId& id) { fixture.announcer.note_change(id); });
+  fixture.loads.on_end(
+      [&](const BackendId& id, bool failed) { fixture.announcer.note_attempt_end(id, failed); });
   for (const auto verdict : {gateway::AttemptVerdict::kGood, gateway::AttemptVerdict::kFailed,
                              gateway::AttemptVerdict::kAbandoned}) {
-    world.loads.begin(BackendId("e"), 0);
-    world.loads.end(BackendId("e"), verdict, world.time.now());
+    fixture.loads.begin(BackendId("e"), 0);
+    fixture.loads.end(BackendId("e"), verdict, fixture.time.now());
   }
-  world.time.run_until(world.time.now() + 10ms);
-  world.announcer.note_change(BackendId("e"));
-  world.time.run_until(world.time.now() + 10ms);
-  REQUIRE(world.sent.size() == 2);
-  CHECK(world.sent[0].engines[0].ended == 2);
-  CHECK(world.sent[0].engines[0].failed == 1);
-  CHECK(world.sent[1].engines[0].ended == 0);
+  fixture.time.run_until(fixture.time.now() + 10ms);
+  fixture.announcer.note_change(BackendId("e"));
+  fixture.time.run_until(fixture.time.now() + 10ms);
+  REQUIRE(fixture.sent.size() == 2);
+  CHECK(fixture.sent[0].engines[0].ended == 2);
+  CHECK(fixture.sent[0].engines[0].failed == 1);
+  CHECK(fixture.sent[1].engines[0].ended == 0);
 }
 
 TEST_CASE("a node that starts is told all parts, in datagrams that others can take") {
-  AnnouncingNode world;
+  AnnouncingNode fixture;
   for (const char* engine : {"e1", "e2", "e3"}) {
     std::vector<std::uint64_t> keys;
     for (std::uint64_t key = 0; key != 700; ++key) {
       keys.push_back(~key);
     }
-    world.loads.note_parts(BackendId(engine), keys, world.time.now());
+    fixture.loads.note_parts(BackendId(engine), keys, fixture.time.now());
   }
-  world.loads.begin(BackendId("e2"), 40);
+  fixture.loads.begin(BackendId("e2"), 40);
   std::map<BackendId, std::set<std::uint64_t>> told;
   std::uint64_t sequence = 0;
-  world.announcer.tell_all(world.loads, world.time.now() + 1s, [&](const WorkReport& report) {
-    CHECK(wire::encode(report).size() < 8192);
-    CHECK(report.sequence > sequence);
-    sequence = report.sequence;
-    for (const EngineWork& work : report.engines) {
-      told[work.engine].insert(work.parts_read.begin(), work.parts_read.end());
-      CHECK(work.requests == (work.engine == BackendId("e2") ? 1 : 0));
-    }
-  });
+  fixture.announcer.send_cached_parts(
+      fixture.loads, fixture.time.now() + 1s, [&](const WorkReport& report) {
+        CHECK(wire::encode(report).size() < 8192);
+        CHECK(report.sequence > sequence);
+        sequence = report.sequence;
+        for (const EngineWork& work : report.engines) {
+          told[work.engine].insert(work.prefilled_parts.begin(), work.prefilled_parts.end());
+          CHECK(work.requests == (work.engine == BackendId("e2") ? 1 : 0));
+        }
+      });
   REQUIRE(told.size() == 3);
   for (const auto& [engine, keys] : told) {
     CHECK(keys.size() == 700);
   }
   // After a minute an engine is believed to keep what it read last: ten parts besides that one.
   std::size_t parts = 0;
-  world.announcer.tell_all(world.loads, world.time.now() + 60s, [&](const WorkReport& report) {
-    for (const EngineWork& work : report.engines) {
-      CHECK(work.parts_read.size() <= 11);
-      parts += work.parts_read.size();
-    }
-  });
+  fixture.announcer.send_cached_parts(fixture.loads, fixture.time.now() + 60s,
+                                      [&](const WorkReport& report) {
+                                        for (const EngineWork& work : report.engines) {
+                                          CHECK(work.prefilled_parts.size() <= 11);
+                                          parts += work.prefilled_parts.size();
+                                        }
+                                      });
   CHECK(parts == 33);
   std::size_t late = 0;
-  world.announcer.tell_all(world.loads, world.time.now() + 121s,
-                           [&](const WorkReport&) { ++late; });
+  fixture.announcer.send_cached_parts(fixture.loads, fixture.time.now() + 121s,
+                                      [&](const WorkReport&) { ++late; });
   CHECK(late == 0);
 }
 
@@ -258,7 +261,7 @@
   const WorkReport report = make_report("a", 3, 2, 100);
   const auto read = wire::decode<WorkReport>(wire::encode(report));
   REQUIRE(read);
-  CHECK(read.value().engines[0].unread_tokens == 100);
+  CHECK(read.value().engines[0].pending_prefill_tokens == 100);
   CHECK(rc::check([](const std::string& bytes) {
     const auto tried = wire::decode<WorkReport>(bytes);
     if (tried) {
--- a/src/peer_load/types.h
+++ b/src/peer_load/types.h
@@ -14,22 +14,22 @@
 struct EngineWork {
   gateway::BackendId engine;
   std::uint32_t requests = 0;
-  std::uint64_t unread_tokens = 0;
+  std::uint64_t pending_prefill_tokens = 0;
   std::uint32_t ended = 0;   ///< Attempts since the last report that tell of its health.
   std::uint32_t failed = 0;  ///< Of these, in failure.
   bool silent = false;       ///< It has not answered this node at all, just now.
   std::vector<std::uint64_t>
-      parts_read;  ///< Keys of shared prompt parts read since the last report.
+      prefilled_parts;  ///< Keys of shared prompt parts read since the last report.
 
   template <class Archive>
   void serialize(Archive& archive, unsigned /*version*/) {
     archive& engine;
     archive& requests;
-    archive& unread_tokens;
+    archive& pending_prefill_tokens;
     archive& ended;
     archive& failed;
     archive& silent;
-    archive& parts_read;
+    archive& prefilled_parts;
   }
 };
 
@@ -47,14 +47,14 @@
 /// One datagram: a node's own work, or, from a relay, sums over all nodes.
 struct WorkReport {
   NodeId node;
-  std::uint64_t life = 0;      ///< Drawn at the sender's start.
-  std::uint64_t sequence = 0;  ///< Rises within one life.
+  std::uint64_t incarnation = 0;  ///< Drawn at the sender's start.
+  std::uint64_t sequence = 0;     ///< Rises within one life.
   std::vector<EngineWork> engines;
 
   template <class Archive>
   void serialize(Archive& archive, unsigned /*version*/) {
     archive& node;
-    archive& life;
+    archive& incarnation;
     archive& sequence;
     archive& engines;
   }
--- a/src/peer_load/work_announcer.cc
+++ b/src/peer_load/work_announcer.cc
@@ -6,38 +6,38 @@
 
 WorkAnnouncer::WorkAnnouncer(TimerService& timers, WorkAnnouncerOptions options, WorkOf work_of,
                              Send send)
-    : gather_time_(options.gather),
-      repeats_(options.repeat),
+    : batch_window_(options.batch_window),
+      refreshes_(options.refresh),
       work_of_(std::move(work_of)),
       send_(std::move(send)),
-      gather_(timers),
-      repeat_(timers) {
+      batch_timer_(timers),
+      refresh_timer_(timers) {
   report_.node = std::move(options.node);
-  report_.life = options.life;
+  report_.incarnation = options.incarnation;
 }
 
 void WorkAnnouncer::note_change(const gateway::BackendId& engine) {
   changed_.insert(engine);
-  if (!gather_.armed()) {
-    gather_.arm(gather_time_, [this] { announce(); });
+  if (!batch_timer_.armed()) {
+    batch_timer_.arm(batch_window_, [this] { announce(); });
   }
 }
 
 void WorkAnnouncer::note_silence(const gateway::BackendId& backend) {
-  silent_.insert(backend);
+  unresponsive_.insert(backend);
   note_change(backend);
 }
 
-void WorkAnnouncer::note_ends(const gateway::BackendId& engine, std::uint32_t ended,
-                              std::uint32_t failed) {
-  Ends& ends = ends_[engine];
+void WorkAnnouncer::note_attempt_ends(const gateway::BackendId& engine, std::uint32_t ended,
+                                      std::uint32_t failed) {
+  AttemptEnds& ends = attempt_ends_[engine];
   ends.ended += ended;
   ends.failed += failed;
 }
 
-void WorkAnnouncer::note_parts(const gateway::BackendId& engine,
-                               const std::vector<std::uint64_t>& keys) {
-  auto& parts = parts_[engine];
+void WorkAnnouncer::note_prefilled_parts(const gateway::BackendId& engine,
+                                         const std::vector<std::uint64_t>& keys) {
+  auto& parts = prefilled_parts_[engine];
   parts.insert(parts.end(), keys.begin(), keys.end());
   note_change(engine);
 }
@@ -45,25 +45,25 @@
 void WorkAnnouncer::note_report(const WorkReport& report) {
   for (const EngineWork& work : report.engines) {
     if (work.silent) {
-      silent_.insert(work.engine);
+      unresponsive_.insert(work.engine);
     }
     if (work.ended != 0) {
-      note_ends(work.engine, work.ended, work.failed);
+      note_attempt_ends(work.engine, work.ended, work.failed);
     }
-    note_parts(work.engine, work.parts_read);
+    note_prefilled_parts(work.engine, work.prefilled_parts);
   }
 }
 
 void WorkAnnouncer::announce() {
   for (const gateway::BackendId& engine : std::exchange(changed_, {})) {
     EngineWork work = work_at(engine);
-    work.silent = silent_.erase(engine) != 0;
-    if (const auto ends = ends_.extract(engine)) {
+    work.silent = unresponsive_.erase(engine) != 0;
+    if (const auto ends = attempt_ends_.extract(engine)) {
       work.ended = ends.mapped().ended;
       work.failed = ends.mapped().failed;
     }
-    if (auto parts = parts_.extract(engine)) {
-      work.parts_read = std::move(parts.mapped());
+    if (auto parts = prefilled_parts_.extract(engine)) {
+      work.prefilled_parts = std::move(parts.mapped());
     }
     if (work.requests == 0) {
       busy_.erase(engine);
@@ -73,16 +73,17 @@
     append(std::move(work), send_);
   }
   flush(send_);
-  if (repeats_ && !busy_.empty() && !repeat_.armed()) {
-    repeat_.arm(kRepeat, [this] { repeat(); });
+  if (refreshes_ && !busy_.empty() && !refresh_timer_.armed()) {
+    refresh_timer_.arm(kRefreshInterval, [this] { refresh(); });
   }
 }
 
-void WorkAnnouncer::tell_all(const gateway::LoadTable& loads, MonotonicTime now, const Send& send) {
+void WorkAnnouncer::send_cached_parts(const gateway::LoadTable& loads, MonotonicTime now,
+                                      const Send& send) {
   for (const auto& [engine, load] : loads.all()) {
     EngineWork work = work_at(engine);
-    work.parts_read = load.held_parts(now);
-    if (!work.parts_read.empty()) {
+    work.prefilled_parts = load.held_parts(now);
+    if (!work.prefilled_parts.empty()) {
       append(std::move(work), send);
     }
   }
@@ -94,25 +95,25 @@
   EngineWork work;
   work.engine = engine;
   work.requests = now.requests;
-  work.unread_tokens = now.unread_tokens;
+  work.pending_prefill_tokens = now.unread_tokens;
   return work;
 }
 
 void WorkAnnouncer::append(EngineWork work, const Send& send) {
-  while (parts_in_report_ + work.parts_read.size() > kMostParts) {
+  while (parts_in_report_ + work.prefilled_parts.size() > kMaxParts) {
     EngineWork piece = work;
-    piece.parts_read.resize(kMostParts - parts_in_report_);
-    work.parts_read.erase(
-        work.parts_read.begin(),
-        work.parts_read.begin() + static_cast<std::ptrdiff_t>(piece.parts_read.size()));
+    piece.prefilled_parts.resize(kMaxParts - parts_in_report_);
+    work.prefilled_parts.erase(
+        work.prefilled_parts.begin(),
+        work.prefilled_parts.begin() + static_cast<std::ptrdiff_t>(piece.prefilled_parts.size()));
     report_.engines.push_back(std::move(piece));
     flush(send);
     work.ended = 0;
     work.failed = 0;
   }
-  parts_in_report_ += work.parts_read.size();
+  parts_in_report_ += work.prefilled_parts.size();
   report_.engines.push_back(std::move(work));
-  if (report_.engines.size() == kMostEngines) {
+  if (report_.engines.size() == kMaxEngines) {
     flush(send);
   }
 }
@@ -127,7 +128,7 @@
   parts_in_report_ = 0;
 }
 
-void WorkAnnouncer::repeat() {
+void WorkAnnouncer::refresh() {
   changed_.insert(busy_.begin(), busy_.end());
   if (!changed_.empty()) {
     announce();
--- a/src/quarantine/crash_announcer.cc
+++ b/src/quarantine/crash_announcer.cc
@@ -10,13 +10,13 @@
 
 using gateway::RequestFingerprint;
 
-/// Bytes of one datagram, by what a report and each of its ends take at most.
-constexpr std::size_t kMostBytes = 6000;
+/// Bytes of one datagram, by what a report and each of its terminations take at most.
+constexpr std::size_t kMaxBatchBytes = 6000;
 constexpr std::size_t kReportBytes = 80;
-constexpr std::size_t kEndBytes = 80;
+constexpr std::size_t kTerminationBytes = 80;
 
 std::size_t size_of(const CrashReport& report) {
-  return kReportBytes + kEndBytes * report.ends.size();
+  return kReportBytes + kTerminationBytes * report.terminations.size();
 }
 
 }  // namespace
@@ -27,20 +27,20 @@
       ledger_(ledger),
       options_(std::move(options)),
       send_(std::move(send)),
-      gather_timer_(timers),
-      repeat_timer_(timers),
-      steady_timer_(timers) {}
+      batch_timer_(timers),
+      resend_timer_(timers),
+      refresh_timer_(timers) {}
 
 void CrashAnnouncer::note_change(const RequestFingerprint& request) {
   due_.insert(request);
-  if (!options_.repeat_pauses.empty()) {
-    repeats_[request] = {.due = clock_.now() + options_.repeat_pauses.front(), .told_again = 0};
-    arm_repeat();
-    steady_.insert(request);
-    arm_steady();
+  if (!options_.resend_delays.empty()) {
+    resends_[request] = {.due = clock_.now() + options_.resend_delays.front(), .resent = 0};
+    arm_resend_timer();
+    refreshed_.insert(request);
+    arm_refresh_timer();
   }
-  if (!gather_timer_.armed()) {
-    gather_timer_.arm(options_.gather, [this] { flush(); });
+  if (!batch_timer_.armed()) {
+    batch_timer_.arm(options_.batch_window, [this] { flush(); });
   }
 }
 
@@ -48,68 +48,68 @@
   send(std::exchange(due_, {}), send_);
 }
 
-void CrashAnnouncer::arm_repeat() {
-  if (repeats_.empty()) {
+void CrashAnnouncer::arm_resend_timer() {
+  if (resends_.empty()) {
     return;
   }
   const auto first = std::min_element(
-      repeats_.begin(), repeats_.end(),
+      resends_.begin(), resends_.end(),
       [](const auto& left, const auto& right) { return left.second.due < right.second.due; });
   const Duration wait = std::max(first->second.due - clock_.now(), Duration::zero());
-  repeat_timer_.arm(wait, [this] { repeat(); });
+  resend_timer_.arm(wait, [this] { resend(); });
 }
 
-void CrashAnnouncer::repeat() {
+void CrashAnnouncer::resend() {
   const MonotonicTime now = clock_.now();
-  for (auto next = repeats_.begin(); next != repeats_.end();) {
+  for (auto next = resends_.begin(); next != resends_.end();) {
     const auto current = next++;
-    Repeat& repeat = current->second;
-    if (repeat.due > now) {
+    Resend& resend = current->second;
+    if (resend.due > now) {
       continue;
     }
     due_.insert(current->first);
-    if (++repeat.told_again == options_.repeat_pauses.size()) {
-      repeats_.erase(current);
+    if (++resend.resent == options_.resend_delays.size()) {
+      resends_.erase(current);
     } else {
-      repeat.due = now + options_.repeat_pauses[repeat.told_again];
+      resend.due = now + options_.resend_delays[resend.resent];
     }
   }
   flush();
-  arm_repeat();
+  arm_resend_timer();
 }
 
-void CrashAnnouncer::arm_steady() {
-  if (!steady_timer_.armed()) {
-    steady_timer_.arm(options_.steady_pause, [this] { tell_steadily(); });
+void CrashAnnouncer::arm_refresh_timer() {
+  if (!refresh_timer_.armed()) {
+    refresh_timer_.arm(options_.refresh_interval, [this] { refresh(); });
   }
 }
 
-void CrashAnnouncer::tell_steadily() {
+void CrashAnnouncer::refresh() {
   const MonotonicTime now = clock_.now();
-  std::erase_if(steady_, [&](const RequestFingerprint& request) {
+  std::erase_if(refreshed_, [&](const RequestFingerprint& request) {
     const auto report = ledger_.report(request, now);
-    return !report || report->asked_age > options_.steady_life ||
-           ledger_.standing(request) != Standing::kQuarantined;
+    return !report || report->last_request_age > options_.refresh_lifetime ||
+           ledger_.suspicion_level(request) != SuspicionLevel::kQuarantined;
   });
-  std::set<RequestFingerprint> turn;
-  auto next = steady_.upper_bound(last_steady_);
-  while (turn.size() < std::min(options_.most_steady, steady_.size())) {
-    if (next == steady_.end()) {
-      next = steady_.begin();
+  std::set<RequestFingerprint> batch;
+  auto next = refreshed_.upper_bound(last_refreshed_);
+  while (batch.size() < std::min(options_.max_refresh_reports, refreshed_.size())) {
+    if (next == refreshed_.end()) {
+      next = refreshed_.begin();
     }
-    last_steady_ = *next;
-    turn.insert(*next++);
+    last_refreshed_ = *next;
+    batch.insert(*next++);
   }
-  send(turn, send_);
-  if (!steady_.empty()) {
-    arm_steady();
+  send(batch, send_);
+  if (!refreshed_.empty()) {
+    arm_refresh_timer();
   }
 }
 
-void CrashAnnouncer::tell_all(const Send& send_to) const {
+void CrashAnnouncer::send_all(const Send& send_to) const {
   std::set<RequestFingerprint> all;
-  for (const Standing standing : {Standing::kQuarantined, Standing::kSuspected}) {
-    for (const RequestFingerprint& request : ledger_.requests(standing)) {
+  for (const SuspicionLevel level : {SuspicionLevel::kQuarantined, SuspicionLevel::kSuspected}) {
+    for (const RequestFingerprint& request : ledger_.requests(level)) {
       all.insert(request);
     }
   }
@@ -117,22 +117,22 @@
 }
 
 void CrashAnnouncer::send(const std::set<RequestFingerprint>& requests, const Send& send_to) const {
-  CrashNews news;
+  CrashReportBatch batch;
   std::size_t bytes = 0;
   for (const RequestFingerprint& request : requests) {
     auto report = ledger_.report(request, clock_.now());
     if (!report) {
       continue;
     }
-    if (bytes + size_of(*report) > kMostBytes && !news.reports.empty()) {
-      send_to(std::exchange(news, {}));
+    if (bytes + size_of(*report) > kMaxBatchBytes && !batch.reports.empty()) {
+      send_to(std::exchange(batch, {}));
       bytes = 0;
     }
     bytes += size_of(*report);
-    news.reports.push_back(std::move(*report));
+    batch.reports.push_back(std::move(*report));
   }
-  if (!news.reports.empty()) {
-    send_to(news);
+  if (!batch.reports.empty()) {
+    send_to(batch);
   }
 }
 
--- a/src/quarantine/crash_announcer.h
+++ b/src/quarantine/crash_announcer.h
@@ -1,4 +1,4 @@
-// Tells other nodes what is known of requests under which servers have ended.
+// Tells other nodes what is known of requests under which backends have ended.
 #pragma once
 
 #include <chrono>
@@ -16,24 +16,24 @@
 
 struct CrashAnnouncerOptions {
   /// All changes of this time go out together.
-  Duration gather{std::chrono::milliseconds(3)};
+  Duration batch_window{std::chrono::milliseconds(3)};
   /// After which pauses a change is told again: of datagrams that are lost 3 in 100 times, one
   /// change in 37,000 is lost with two repeats. The first is shorter than most callers' pause
   /// between two tries, the second longer than most bursts of losses.
-  std::vector<Duration> repeat_pauses{std::chrono::milliseconds(100),
+  std::vector<Duration> resend_delays{std::chrono::milliseconds(100),
                                       std::chrono::milliseconds(1300)};
   /// Quarantined requests that still come are told again and again, for nodes that have started or
   /// were cut off: so many, in turn, each time.
-  Duration steady_pause{std::chrono::seconds(5)};
-  std::size_t most_steady = 8;
+  Duration refresh_interval{std::chrono::seconds(5)};
+  std::size_t max_refresh_reports = 8;
   /// Not told any more once nobody has sent the request for this long.
-  Duration steady_life{std::chrono::seconds(60)};
+  Duration refresh_lifetime{std::chrono::seconds(60)};
 };
 
 /// One loop.
 class CrashAnnouncer {
  public:
-  using Send = std::function<void(const CrashNews&)>;
+  using Send = std::function<void(const CrashReportBatch&)>;
 
   CrashAnnouncer(const Clock& clock, TimerService& timers, const CrashLedger& ledger,
                  CrashAnnouncerOptions options, Send send);
@@ -41,20 +41,20 @@
   /// Something has changed that this node is to tell.
   void note_change(const gateway::RequestFingerprint& request);
   /// All that is held against any request, for a node that has started.
-  void tell_all(const Send& send) const;
+  void send_all(const Send& send) const;
 
  private:
   /// Of a change that is to be told again.
-  struct Repeat {
+  struct Resend {
     MonotonicTime due{};
-    std::size_t told_again = 0;
+    std::size_t resent = 0;
   };
 
   void flush();
-  void repeat();
-  void arm_repeat();
-  void arm_steady();
-  void tell_steadily();
+  void resend();
+  void arm_resend_timer();
+  void arm_refresh_timer();
+  void refresh();
   void send(const std::set<gateway::RequestFingerprint>& requests, const Send& send) const;
 
   const Clock& clock_;
@@ -62,12 +62,12 @@
   CrashAnnouncerOptions options_;
   Send send_;
   std::set<gateway::RequestFingerprint> due_;
-  std::map<gateway::RequestFingerprint, Repeat> repeats_;
-  std::set<gateway::RequestFingerprint> steady_;
-  gateway::RequestFingerprint last_steady_;  ///< The turn goes on behind it.
-  Timer gather_timer_;
-  Timer repeat_timer_;
-  Timer steady_timer_;
+  std::map<gateway::RequestFingerprint, Resend> resends_;
+  std::set<gateway::RequestFingerprint> refreshed_;
+  gateway::RequestFingerprint last_refreshed_;  ///< The turn goes on behind it.
+  Timer batch_timer_;
+  Timer resend_timer_;
+  Timer refresh_timer_;
 };
 
 }  // namespace ochrespring::quarantine
--- a/src/quarantine/crash_ledger.cc
+++ b/src/quarantine/crash_ledger.cc
@@ -8,27 +8,28 @@
 
 namespace {
 
-/// Servers kept of one request: more tell nothing.
-constexpr std::size_t kMostEnds = 16;
+/// BackendIds kept of one request: more tell nothing.
+constexpr std::size_t kMaxTerminations = 16;
 
 }  // namespace
 
-std::size_t CrashLedger::Entry::counted() const {
+std::size_t CrashLedger::Entry::counted_terminations() const {
   return static_cast<std::size_t>(
-      std::count_if(ends.begin(), ends.end(), [](const auto& end) { return !end.second.excused; }));
+      std::count_if(terminations.begin(), terminations.end(),
+                    [](const auto& termination) { return !termination.second.excused; }));
 }
 
-MonotonicTime CrashLedger::Entry::last_end() const {
+MonotonicTime CrashLedger::Entry::last_termination_at() const {
   MonotonicTime last{};
-  for (const auto& [server, end] : ends) {
-    last = std::max(last, end.at);
+  for (const auto& [backend, termination] : terminations) {
+    last = std::max(last, termination.at);
   }
   return last;
 }
 
-bool CrashLedger::Entry::has_gap() const {
-  const auto forgotten = ends.find(kForgottenServer);
-  return forgotten != ends.end() && !forgotten->second.excused;
+bool CrashLedger::Entry::has_unknown_termination() const {
+  const auto unknown = terminations.find(kUnknownBackend);
+  return unknown != terminations.end() && !unknown->second.excused;
 }
 
 const CrashLedger::Entry* CrashLedger::find(const Request& request) const {
@@ -36,18 +37,18 @@
   return found == entries_.end() ? nullptr : &found->second;
 }
 
-std::vector<CrashLedger::Request> CrashLedger::requests(Standing wanted) const {
+std::vector<CrashLedger::Request> CrashLedger::requests(SuspicionLevel level) const {
   std::vector<Request> found;
   for (const auto& [request, entry] : entries_) {
-    if (standing(request) == wanted) {
+    if (suspicion_level(request) == level) {
       found.push_back(request);
     }
   }
   return found;
 }
 
-std::size_t CrashLedger::count(Standing wanted) const {
-  return requests(wanted).size();
+std::size_t CrashLedger::count(SuspicionLevel level) const {
+  return requests(level).size();
 }
 
 CrashLedger::Entry& CrashLedger::entry_of(const Request& request, const ServiceName& service,
@@ -56,48 +57,49 @@
   if (found != entries_.end()) {
     return found->second;
   }
-  make_room();
+  evict_if_full();
   Entry& entry = entries_[request];
   entry.service = service;
-  entry.asked_at = now;
+  entry.last_request_at = now;
   return entry;
 }
 
-bool CrashLedger::add_end(const Request& request, Entry& entry, const ServerEnd& end,
-                          MonotonicTime now) {
-  const auto known = entry.ends.find(end.server);
-  if (known != entry.ends.end()) {
-    const bool news = end.excused && !known->second.excused;
-    known->second.excused = known->second.excused || end.excused;
-    return news;
+bool CrashLedger::add_termination(const Request& request, Entry& entry,
+                                  const BackendTermination& termination, MonotonicTime now) {
+  const auto known = entry.terminations.find(termination.backend);
+  if (known != entry.terminations.end()) {
+    const bool changed = termination.excused && !known->second.excused;
+    known->second.excused = known->second.excused || termination.excused;
+    return changed;
   }
-  if (entry.ends.size() >= kMostEnds) {
+  if (entry.terminations.size() >= kMaxTerminations) {
     return false;
   }
-  entry.ends[end.server] = {end.seen_by, now - end.age, end.excused};
-  by_server_[end.server].insert(request);
+  entry.terminations[termination.backend] = {termination.observer, now - termination.age,
+                                             termination.excused};
+  by_backend_[termination.backend].insert(request);
   return true;
 }
 
-bool CrashLedger::note_end(const Request& request, const ServiceName& service, const ServerEnd& end,
-                           MonotonicTime now) {
-  return add_end(request, entry_of(request, service, now), end, now);
+bool CrashLedger::note_termination(const Request& request, const ServiceName& service,
+                                   const BackendTermination& termination, MonotonicTime now) {
+  return add_termination(request, entry_of(request, service, now), termination, now);
 }
 
 bool CrashLedger::merge(const CrashReport& report, MonotonicTime now) {
   Entry& entry = entry_of(report.request, report.service, now);
-  bool news = false;
-  for (const ServerEnd& end : report.ends) {
-    news = add_end(report.request, entry, end, now) || news;
+  bool changed = false;
+  for (const BackendTermination& termination : report.terminations) {
+    changed = add_termination(report.request, entry, termination, now) || changed;
   }
   if (report.trials > entry.trials) {
     entry.trials = report.trials;
     entry.trial_at = now - report.trial_age;
-    news = true;
+    changed = true;
   }
-  entry.asked_at = std::max(entry.asked_at, now - report.asked_age);
+  entry.last_request_at = std::max(entry.last_request_at, now - report.last_request_age);
   entry.stored = entry.stored || report.stored;
-  return news;
+  return changed;
 }
 
 bool CrashLedger::excuse(const Request& request) {
@@ -105,18 +107,18 @@
   if (found == entries_.end()) {
     return false;
   }
-  bool news = false;
-  for (auto& [server, end] : found->second.ends) {
-    news = news || !end.excused;
-    end.excused = true;
+  bool changed = false;
+  for (auto& [backend, termination] : found->second.terminations) {
+    changed = changed || !termination.excused;
+    termination.excused = true;
   }
-  return news;
+  return changed;
 }
 
-void CrashLedger::note_asked(const Request& request, MonotonicTime now) {
+void CrashLedger::note_request(const Request& request, MonotonicTime now) {
   const auto found = entries_.find(request);
   if (found != entries_.end()) {
-    found->second.asked_at = now;
+    found->second.last_request_at = now;
   }
 }
 
@@ -135,84 +137,87 @@
   }
 }
 
-std::vector<CrashLedger::Request> CrashLedger::held_against(const gateway::BackendId& server,
+std::vector<CrashLedger::Request> CrashLedger::suspects_for(const gateway::BackendId& backend,
                                                             MonotonicTime started) const {
-  std::vector<Request> held;
-  const auto found = by_server_.find(server);
-  if (found == by_server_.end()) {
-    return held;
+  std::vector<Request> suspects;
+  const auto found = by_backend_.find(backend);
+  if (found == by_backend_.end()) {
+    return suspects;
   }
   for (const Request& request : found->second) {
-    const End& end = entries_.at(request).ends.at(server);
-    if (!end.excused && end.at < started) {
-      held.push_back(request);
+    const Termination& termination = entries_.at(request).terminations.at(backend);
+    if (!termination.excused && termination.at < started) {
+      suspects.push_back(request);
     }
   }
-  return held;
+  return suspects;
 }
 
-void CrashLedger::excuse_server(const gateway::BackendId& server) {
-  const auto found = by_server_.find(server);
-  if (found == by_server_.end()) {
+void CrashLedger::excuse_backend(const gateway::BackendId& backend) {
+  const auto found = by_backend_.find(backend);
+  if (found == by_backend_.end()) {
     return;
   }
   for (const Request& request : found->second) {
-    entries_.at(request).ends.at(server).excused = true;
+    entries_.at(request).terminations.at(backend).excused = true;
   }
 }
 
-std::size_t CrashLedger::counted(const Request& request) const {
+std::size_t CrashLedger::counted_terminations(const Request& request) const {
   const Entry* entry = find(request);
-  return entry == nullptr ? 0 : entry->counted();
+  return entry == nullptr ? 0 : entry->counted_terminations();
 }
 
-Standing CrashLedger::standing(const Request& request, const Servers& also) const {
+SuspicionLevel CrashLedger::suspicion_level(const Request& request,
+                                            const BackendIds& additional) const {
   const Entry* entry = find(request);
-  std::size_t ends = counted(request);
-  for (const gateway::BackendId& server : also) {
-    ends += entry == nullptr || !entry->ends.contains(server) ? 1 : 0;
+  std::size_t terminations = counted_terminations(request);
+  for (const gateway::BackendId& backend : additional) {
+    terminations += entry == nullptr || !entry->terminations.contains(backend) ? 1 : 0;
   }
-  if (ends == 0) {
-    return Standing::kFree;
+  if (terminations == 0) {
+    return SuspicionLevel::kNone;
   }
-  return ends < options_.quarantine_after ? Standing::kSuspected : Standing::kQuarantined;
+  return terminations < options_.quarantine_threshold ? SuspicionLevel::kSuspected
+                                                      : SuspicionLevel::kQuarantined;
 }
 
-std::size_t CrashLedger::most_trials(const Entry& entry) const {
-  const std::size_t most = options_.trial_pauses.size();
-  if (!entry.has_gap()) {
-    return most;
+std::size_t CrashLedger::max_trials(const Entry& entry) const {
+  const std::size_t total = options_.trial_delays.size();
+  if (!entry.has_unknown_termination()) {
+    return total;
   }
-  const std::size_t seen = entry.counted() - 1;
-  return seen < most ? most - seen : 1;
+  const std::size_t counted = entry.counted_terminations() - 1;
+  return counted < total ? total - counted : 1;
 }
 
-std::optional<Duration> CrashLedger::until_trial(const Request& request, MonotonicTime now) const {
+std::optional<Duration> CrashLedger::time_to_trial(const Request& request,
+                                                   MonotonicTime now) const {
   const Entry* entry = find(request);
   if (entry == nullptr) {
-    // Not told by anybody yet: this node has just seen the last end.
-    return options_.trial_pauses.front();
+    // Not told by anybody yet: this node has just seen the last termination.
+    return options_.trial_delays.front();
   }
-  if (entry->trials >= most_trials(*entry)) {
+  if (entry->trials >= max_trials(*entry)) {
     return std::nullopt;
   }
-  const MonotonicTime due =
-      std::max(entry->last_end(), entry->trial_at) + options_.trial_pauses[entry->trials];
+  const MonotonicTime due = std::max(entry->last_termination_at(), entry->trial_at) +
+                            options_.trial_delays[entry->trials];
   return std::max(due - now, Duration::zero());
 }
 
 Duration CrashLedger::retry_after(const Request& request, MonotonicTime now) const {
-  return until_trial(request, now).value_or(options_.longest_retry_after);
+  return time_to_trial(request, now).value_or(options_.max_retry_after);
 }
 
-std::vector<CrashLedger::Request> CrashLedger::forget_stored() {
-  std::vector<Request> forgotten;
+std::vector<CrashLedger::Request> CrashLedger::clear_stored() {
+  std::vector<Request> cleared;
   for (auto& [request, entry] : entries_) {
     if (std::exchange(entry.stored, false)) {
-      forgotten.push_back(request);
+      cleared.push_back(request);
     }
   }
-  return forgotten;
+  return cleared;
 }
 
 bool CrashLedger::stored(const Request& request) const {
@@ -232,29 +237,31 @@
   }
   CrashReport report{.request = request,
                      .service = entry->service,
-                     .ends = {},
+                     .terminations = {},
                      .trials = entry->trials,
                      .trial_age = now - entry->trial_at,
-                     .asked_age = now - entry->asked_at,
+                     .last_request_age = now - entry->last_request_at,
                      .stored = entry->stored};
-  for (const auto& [server, end] : entry->ends) {
-    report.ends.push_back({server, end.seen_by, now - end.at, end.excused});
+  for (const auto& [backend, termination] : entry->terminations) {
+    report.terminations.push_back(
+        {backend, termination.observer, now - termination.at, termination.excused});
   }
   return report;
 }
 
-bool CrashLedger::outdated(const Request& request, const Entry& entry, MonotonicTime now) const {
-  if (standing(request) == Standing::kQuarantined) {
-    return now - std::max(entry.asked_at, entry.last_end()) > options_.quarantine_life;
+bool CrashLedger::is_expired(const Request& request, const Entry& entry, MonotonicTime now) const {
+  if (suspicion_level(request) == SuspicionLevel::kQuarantined) {
+    return now - std::max(entry.last_request_at, entry.last_termination_at()) >
+           options_.quarantine_ttl;
   }
-  return now - entry.last_end() > options_.suspicion_life;
+  return now - entry.last_termination_at() > options_.suspicion_ttl;
 }
 
-std::vector<CrashLedger::Request> CrashLedger::drop_outdated(MonotonicTime now) {
+std::vector<CrashLedger::Request> CrashLedger::drop_expired(MonotonicTime now) {
   std::vector<Request> stored;
   for (auto entry = entries_.begin(); entry != entries_.end();) {
     const auto next = std::next(entry);
-    if (outdated(entry->first, entry->second, now)) {
+    if (is_expired(entry->first, entry->second, now)) {
       if (entry->second.stored) {
         stored.push_back(entry->first);
       }
@@ -266,23 +273,24 @@
 }
 
 void CrashLedger::erase(std::unordered_map<Request, Entry>::iterator entry) {
-  for (const auto& [server, end] : entry->second.ends) {
-    const auto beside = by_server_.find(server);
-    beside->second.erase(entry->first);
-    if (beside->second.empty()) {
-      by_server_.erase(beside);
+  for (const auto& [backend, termination] : entry->second.terminations) {
+    const auto suspects = by_backend_.find(backend);
+    suspects->second.erase(entry->first);
+    if (suspects->second.empty()) {
+      by_backend_.erase(suspects);
     }
   }
   entries_.erase(entry);
 }
 
-/// Of a crowd that was beside others' ends, the oldest goes.
-void CrashLedger::make_room() {
-  if (entries_.size() < options_.most_requests) {
+/// Of a crowd that was suspects others' terminations, the oldest goes.
+void CrashLedger::evict_if_full() {
+  if (entries_.size() < options_.max_requests) {
     return;
   }
   const auto weight = [](const Entry& entry) {
-    return std::pair(entry.counted(), std::max(entry.asked_at, entry.last_end()));
+    return std::pair(entry.counted_terminations(),
+                     std::max(entry.last_request_at, entry.last_termination_at()));
   };
   erase(
       std::min_element(entries_.begin(), entries_.end(), [&](const auto& left, const auto& right) {
--- a/src/quarantine/ledger_horizon.cc
+++ b/src/quarantine/ledger_horizon.cc
@@ -2,23 +2,24 @@
 
 namespace ochrespring::quarantine {
 
-void LedgerHorizon::take(const HorizonReport& told, MonotonicTime now) {
-  const MonotonicTime since = now - std::clamp(told.age, Duration::zero(), needed_);
-  const bool reaches_far_enough = told.age >= needed_;
-  if (!told_ || reaches_far_enough || since < told_->since) {
-    told_ = Told{.since = since, .requests = told.requests};
+void LedgerHorizon::receive(const HorizonReport& report, MonotonicTime now) {
+  const MonotonicTime since = now - std::clamp(report.age, Duration::zero(), required_age_);
+  const bool is_sufficient = report.age >= required_age_;
+  if (!pending_ || is_sufficient || since < pending_->since) {
+    pending_ = PendingReport{.since = since, .requests = report.requests};
   }
 }
 
-void LedgerHorizon::settle(std::size_t known) {
-  if (told_ && known >= told_->requests) {
-    since_ = std::min(since_, told_->since);
-    told_.reset();
+void LedgerHorizon::apply_pending_report(std::size_t suspect_count) {
+  if (pending_ && suspect_count >= pending_->requests) {
+    complete_since_ = std::min(complete_since_, pending_->since);
+    pending_.reset();
   }
 }
 
-HorizonReport LedgerHorizon::report(std::size_t known, MonotonicTime now) const {
-  return {.age = std::min(now - since_, needed_), .requests = static_cast<std::uint32_t>(known)};
+HorizonReport LedgerHorizon::report(std::size_t suspect_count, MonotonicTime now) const {
+  return {.age = std::min(now - complete_since_, required_age_),
+          .requests = static_cast<std::uint32_t>(suspect_count)};
 }
 
 }  // namespace ochrespring::quarantine
--- a/src/quarantine/quarantine_store.h
+++ b/src/quarantine/quarantine_store.h
@@ -22,9 +22,9 @@
   /// Whether a key is one of these.
   bool owns(std::string_view key) const { return key.starts_with(key_prefix_); }
   /// Whether a key says that the fleet has run before.
-  bool is_fleet_mark(std::string_view key) const { return key == fleet_mark(); }
+  bool is_fleet_marker(std::string_view key) const { return key == fleet_marker(); }
   /// Writes that key unless it is there.
-  void mark_fleet(std::function<void(bool marked)> done);
+  void write_fleet_marker(std::function<void(bool marked)> done);
   /// Writes a request that the store does not have; true also if it turns out to have it.
   void add(CrashReport report, std::function<void(bool stored)> done);
   void remove(const gateway::RequestFingerprint& request);
@@ -45,7 +45,7 @@
   }
 
   /// Beside the requests' keys, not among them.
-  std::string_view fleet_mark() const {
+  std::string_view fleet_marker() const {
     return std::string_view(key_prefix_).substr(0, key_prefix_.find('/'));
   }
 
--- a/src/quarantine/tests/ledger_horizon_test.cc
+++ b/src/quarantine/tests/ledger_horizon_test.cc
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr Duration kNeeded = 600s;
+constexpr Duration kRequiredAge = 600s;
 
 MonotonicTime at(Duration since_start) {
   return MonotonicTime(since_start);
@@ -21,57 +21,57 @@
 }  // namespace
 
 TEST_CASE("a node that starts alone is complete only once nothing of before could matter") {
-  const LedgerHorizon horizon(at(50s), kNeeded);
+  const LedgerHorizon horizon(at(50s), kRequiredAge);
   CHECK_FALSE(horizon.is_complete(at(50s)));
   CHECK_FALSE(horizon.is_complete(at(649s)));
   CHECK(horizon.is_complete(at(650s)));
 }
 
 TEST_CASE("a fleet that has never run has forgotten nothing") {
-  LedgerHorizon horizon(at(50s), kNeeded);
-  horizon.note_complete(at(50s));
+  LedgerHorizon horizon(at(50s), kRequiredAge);
+  horizon.mark_complete(at(50s));
   CHECK(horizon.is_complete(at(50s)));
-  CHECK(horizon.report(0, at(50s)).age == kNeeded);
+  CHECK(horizon.report(0, at(50s)).age == kRequiredAge);
 }
 
 TEST_CASE("a horizon is taken over once what the other knew is here") {
-  LedgerHorizon horizon(at(50s), kNeeded);
-  horizon.take({.age = kNeeded, .requests = 3}, at(51s));
-  horizon.settle(2);
+  LedgerHorizon horizon(at(50s), kRequiredAge);
+  horizon.receive({.age = kRequiredAge, .requests = 3}, at(51s));
+  horizon.apply_pending_report(2);
   CHECK_FALSE(horizon.is_complete(at(51s)));
-  CHECK(horizon.is_unsettled());
-  horizon.settle(3);
+  CHECK(horizon.has_pending_report());
+  horizon.apply_pending_report(3);
   CHECK(horizon.is_complete(at(51s)));
-  CHECK_FALSE(horizon.is_unsettled());
+  CHECK_FALSE(horizon.has_pending_report());
 }
 
 TEST_CASE("of nodes that have all just started none makes another complete") {
-  LedgerHorizon horizon(at(50s), kNeeded);
-  horizon.take({.age = 2s, .requests = 0}, at(51s));
-  horizon.settle(0);
+  LedgerHorizon horizon(at(50s), kRequiredAge);
+  horizon.receive({.age = 2s, .requests = 0}, at(51s));
+  horizon.apply_pending_report(0);
   CHECK_FALSE(horizon.is_complete(at(51s)));
   CHECK(horizon.report(0, at(51s)).age == 2s);
 }
 
 TEST_CASE("a report that lacks too much does not keep a later one out") {
-  LedgerHorizon horizon(at(50s), kNeeded);
-  horizon.take({.age = kNeeded, .requests = 9}, at(51s));
-  horizon.take({.age = 1s, .requests = 0}, at(52s));
-  horizon.take({.age = kNeeded, .requests = 1}, at(53s));
-  horizon.settle(1);
+  LedgerHorizon horizon(at(50s), kRequiredAge);
+  horizon.receive({.age = kRequiredAge, .requests = 9}, at(51s));
+  horizon.receive({.age = 1s, .requests = 0}, at(52s));
+  horizon.receive({.age = kRequiredAge, .requests = 1}, at(53s));
+  horizon.apply_pending_report(1);
   CHECK(horizon.is_complete(at(53s)));
 }
 
 TEST_CASE("whatever is told, a horizon never moves on, and never farther back than was told") {
   CHECK(rc::check([](const std::vector<std::pair<std::int32_t, std::uint8_t>>& told) {
-    LedgerHorizon horizon(at(1000s), kNeeded);
+    LedgerHorizon horizon(at(1000s), kRequiredAge);
     Duration farthest = 0s;
     Duration known = 0s;
     for (const auto& [age, requests] : told) {
-      horizon.take({.age = 1s * age, .requests = requests}, at(1000s));
-      horizon.settle(4);
+      horizon.receive({.age = 1s * age, .requests = requests}, at(1000s));
+      horizon.apply_pending_report(4);
       if (requests <= 4) {
-        farthest = std::max(farthest, std::min<Duration>(1s * age, kNeeded));
+        farthest = std::max(farthest, std::min<Duration>(1s * age, kRequiredAge));
       }
       const Duration now = horizon.report(0, at(1000s)).age;
       RC_ASSERT(now >= known);
--- a/src/quarantine/tests/quarantine_store_test.cc
+++ b/src/quarantine/tests/quarantine_store_test.cc
@@ -14,7 +14,7 @@
 
 namespace {
 
-struct StoreWorld {
+struct StoreFixture {
   /// Claims a trial by the view of a node that knows of `trials`.
   void claim(std::uint32_t trials) {
     CrashReport report;
@@ -41,74 +41,74 @@
 }  // namespace
 
 TEST_CASE("of many nodes that ask at once one is granted the trial") {
-  StoreWorld world;
+  StoreFixture fixture;
   for (int i = 0; i != 20; ++i) {
-    world.claim(0);
+    fixture.claim(0);
   }
-  world.advance();
-  CHECK(world.granted() == 1);
-  for (const QuarantineStore::TrialClaim& claim : world.claims) {
+  fixture.advance();
+  CHECK(fixture.granted() == 1);
+  for (const QuarantineStore::TrialClaim& claim : fixture.claims) {
     CHECK(claim.trials == 1);
   }
-  world.claims.clear();
-  world.claim(0);  // A node that has not heard of the first.
-  world.advance();
-  CHECK(world.granted() == 0);
-  CHECK(world.claims.at(0).trials == 1);
-  world.claim(1);
-  world.advance();
-  CHECK(world.granted() == 1);
+  fixture.claims.clear();
+  fixture.claim(0);  // A node that has not heard of the first.
+  fixture.advance();
+  CHECK(fixture.granted() == 0);
+  CHECK(fixture.claims.at(0).trials == 1);
+  fixture.claim(1);
+  fixture.advance();
+  CHECK(fixture.granted() == 1);
 }
 
 TEST_CASE("without the store nobody is granted a trial, and none is used up") {
-  StoreWorld world;
-  world.state.down = true;
-  world.claim(0);
-  world.advance();
-  CHECK(world.granted() == 0);
-  CHECK(world.claims.at(0).trials == 0);
+  StoreFixture fixture;
+  fixture.state.down = true;
+  fixture.claim(0);
+  fixture.advance();
+  CHECK(fixture.granted() == 0);
+  CHECK(fixture.claims.at(0).trials == 0);
 }
 
 TEST_CASE("a claim whose answer is lost may have been counted: nobody sends") {
-  StoreWorld world;
+  StoreFixture fixture;
   CrashReport report;
-  world.quarantined.add(report, [](bool stored) { CHECK(stored); });
-  world.advance();
-  world.store.answers_lost = true;
-  world.claim(0);
-  world.advance();
-  world.advance();
-  CHECK(world.granted() == 0);
+  fixture.quarantined.add(report, [](bool stored) { CHECK(stored); });
+  fixture.advance();
+  fixture.store.answers_lost = true;
+  fixture.claim(0);
+  fixture.advance();
+  fixture.advance();
+  CHECK(fixture.granted() == 0);
 }
 
 TEST_CASE("a request is stored once, whoever writes it, and removed") {
-  StoreWorld world;
+  StoreFixture fixture;
   int stored = 0;
   for (int i = 0; i != 3; ++i) {
-    world.quarantined.add({}, [&](bool success) { stored += success ? 1 : 0; });
+    fixture.quarantined.add({}, [&](bool success) { stored += success ? 1 : 0; });
   }
-  world.advance();
+  fixture.advance();
   CHECK(stored == 3);
-  CHECK(world.state.items.size() == 1);
-  CHECK(world.quarantined.owns(world.state.items.begin()->first));
-  world.quarantined.remove({});
-  world.advance();
-  CHECK(world.state.items.empty());
+  CHECK(fixture.state.items.size() == 1);
+  CHECK(fixture.quarantined.owns(fixture.state.items.begin()->first));
+  fixture.quarantined.remove({});
+  fixture.advance();
+  CHECK(fixture.state.items.empty());
 }
 
 TEST_CASE("the mark that the fleet has run is written once, and is no request") {
-  StoreWorld world;
+  StoreFixture fixture;
   int marked = 0;
   for (int i = 0; i != 3; ++i) {
-    world.quarantined.mark_fleet([&](bool success) { marked += success ? 1 : 0; });
+    fixture.quarantined.write_fleet_marker([&](bool success) { marked += success ? 1 : 0; });
   }
-  world.advance();
+  fixture.advance();
   CHECK(marked == 3);
-  REQUIRE(world.state.items.size() == 1);
-  CHECK(world.state.revision == 1);
-  CHECK(world.quarantined.is_fleet_mark(world.state.items.begin()->first));
-  CHECK_FALSE(world.quarantined.owns(world.state.items.begin()->first));
-  world.state.down = true;
-  world.quarantined.mark_fleet([](bool success) { CHECK_FALSE(success); });
-  world.advance();
+  REQUIRE(fixture.state.items.size() == 1);
+  CHECK(fixture.state.revision == 1);
+  CHECK(fixture.quarantined.is_fleet_marker(fixture.state.items.begin()->first));
+  CHECK_FALSE(fixture.quarantined.owns(fixture.state.items.begin()->first));
+  fixture.state.down = true;
+  fixture.quarantined.write_fleet_marker([](bool success) { CHECK_FALSE(success); });
+  fixture.advance();
 }
--- /dev/null
+++ b/src/quarantine/tests/termination_detector_test.cc
@@ -0,0 +1,128 @@
+// Which breaks of connections are taken for the termination of a backend.
+#include "quarantine/termination_detector.h"
+
+#include <doctest/doctest.h>
+
+#include <chrono>
+#include <deque>
+#include <string>
+#include <vector>
+
+#include "simulation/virtual_time.h"
+
+using namespace ochrespring;
+using namespace ochrespring::quarantine;
+using namespace std::chrono_literals;
+
+namespace {
+
+const gateway::BackendId kBackend("i-1");
+
+struct DetectorFixture {
+  DetectorFixture() {
+    fleet.put(make_backend(false));
+    time.run_until(time.now() + 1s);
+  }
+  static gateway::Backend make_backend(bool draining) {
+    gateway::Backend backend;
+    backend.id = kBackend;
+    backend.address = Endpoint("s:1");
+    backend.draining = draining;
+    return backend;
+  }
+  void note_break(gateway::BreakKind kind = gateway::BreakKind::kClosed,
+                  std::uint64_t request = 1) {
+    detector.note_failed_attempt(
+        {{0, request}, ServiceName("s"), kBackend, time.now() - 100ms, kind});
+  }
+  void advance(Duration span) { time.run_until(time.now() + span); }
+  void answer_probe(http::ProbeResult result) {
+    REQUIRE_FALSE(probes.empty());
+    probes.front()(result);
+    probes.pop_front();
+  }
+
+  simulation::VirtualTime time;
+  gateway::FleetState fleet;
+  std::deque<std::function<void(http::ProbeResult)>> probes;
+  std::vector<std::size_t> terminated;  ///< Requests of each termination.
+  TerminationDetector detector{time, time, fleet,
+                               [this](const Endpoint& address, auto done) {
+                                 CHECK(address == Endpoint("s:1"));
+                                 probes.push_back(std::move(done));
+                               },
+                               [this](const gateway::BackendId& backend, const auto& attempts) {
+                                 CHECK(backend == kBackend);
+                                 terminated.push_back(attempts.size());
+                               }};
+};
+
+}  // namespace
+
+TEST_CASE(
+    "a backend that refuses connections has ended, under all requests whose breaks were seen") {
+  DetectorFixture fixture;
+  fixture.note_break(gateway::BreakKind::kClosed, 1);
+  fixture.note_break(gateway::BreakKind::kClosed, 2);
+  CHECK(fixture.probes.empty());
+  CHECK(fixture.detector.suspected_terminations({0, 1}) == CrashLedger::BackendIds{kBackend});
+  fixture.advance(50ms);
+  REQUIRE(fixture.probes.size() == 1);
+  fixture.answer_probe(http::ProbeResult::kRefused);
+  CHECK(fixture.terminated == std::vector<std::size_t>{2});
+  CHECK(fixture.detector.idle());
+  // One more that broke with the others, and one that was begun after the termination.
+  fixture.note_break(gateway::BreakKind::kClosed, 3);
+  fixture.advance(1s);
+  fixture.note_break(gateway::BreakKind::kClosed, 4);
+  CHECK(fixture.terminated == std::vector<std::size_t>{2, 1});
+  CHECK(fixture.probes.empty());
+}
+
+TEST_CASE("a backend that accepts a connection lives") {
+  DetectorFixture fixture;
+  fixture.note_break();
+  fixture.advance(50ms);
+  fixture.answer_probe(http::ProbeResult::kAccepted);
+  CHECK(fixture.terminated.empty());
+  CHECK(fixture.detector.idle());
+  // For a while silence is not worth another probe, a closed connection is.
+  fixture.note_break(gateway::BreakKind::kSilent);
+  CHECK(fixture.detector.idle());
+  fixture.note_break(gateway::BreakKind::kClosed);
+  CHECK_FALSE(fixture.detector.idle());
+}
+
+TEST_CASE("without an answer the view decides") {
+  DetectorFixture fixture;
+  fixture.note_break(gateway::BreakKind::kSilent);
+  CHECK(fixture.detector.suspected_terminations({0, 1}).empty());
+  fixture.advance(50ms);
+  fixture.answer_probe(http::ProbeResult::kNoAnswer);
+  CHECK(fixture.terminated.empty());
+  SUBCASE("its entry goes") {
+    fixture.advance(4s);
+    fixture.detector.note_backend_removed(DetectorFixture::make_backend(false));
+    CHECK(fixture.terminated == std::vector<std::size_t>{1});
+  }
+  SUBCASE("it had said that it leaves") {
+    fixture.detector.note_backend_removed(DetectorFixture::make_backend(true));
+    CHECK(fixture.terminated.empty());
+  }
+  SUBCASE("nothing happens") {
+    fixture.advance(11s);
+    CHECK(fixture.detector.idle());
+    fixture.detector.note_backend_removed(DetectorFixture::make_backend(false));
+    CHECK(fixture.terminated.empty());
+  }
+}
+
+TEST_CASE("backends that leave as planned, or have left the view, are not watched") {
+  DetectorFixture fixture;
+  fixture.fleet.put(DetectorFixture::make_backend(true));
+  fixture.note_break();
+  CHECK(fixture.detector.idle());
+  fixture.fleet.remove(kBackend);
+  fixture.note_break();
+  CHECK(fixture.detector.idle());
+}
--- a/src/quarantine/types.h
+++ b/src/quarantine/types.h
@@ -1,4 +1,4 @@
-// What nodes tell each other, and write to the store, of requests under which servers have ended.
+// What nodes tell each other, and write to the store, of requests under which backends have ended.
 #pragma once
 
 #include <cstdint>
@@ -11,18 +11,18 @@
 
 namespace ochrespring::quarantine {
 
-/// One server's end while it had the request.
-struct ServerEnd {
-  gateway::BackendId server;
-  NodeId seen_by;
+/// One backend's termination while it had the request.
+struct BackendTermination {
+  gateway::BackendId backend;
+  NodeId observer;
   Duration age{};  ///< When the report was made; clocks of machines are not compared.
-  /// Holds nothing against the request any more: it was answered since, or the server lives.
+  /// Holds nothing against the request any more: it was answered since, or the backend lives.
   bool excused = false;
 
   template <class Archive>
   void serialize(Archive& archive, unsigned /*version*/) {
-    archive& server;
-    archive& seen_by;
+    archive& backend;
+    archive& observer;
     archive& age;
     archive& excused;
   }
@@ -33,26 +33,26 @@
 struct CrashReport {
   gateway::RequestFingerprint request;
   ServiceName service;
-  std::vector<ServerEnd> ends;  ///< Each server once.
-  std::uint32_t trials = 0;     ///< Sends that were tried in quarantine.
-  Duration trial_age{};         ///< Since the last of them.
-  Duration asked_age{};         ///< Since the request last came, to any node.
-  bool stored = false;          ///< The store has it.
+  std::vector<BackendTermination> terminations;  ///< Each backend once.
+  std::uint32_t trials = 0;                      ///< Sends that were tried in quarantine.
+  Duration trial_age{};                          ///< Since the last of them.
+  Duration last_request_age{};                   ///< Since the request last came, to any node.
+  bool stored = false;                           ///< The store has it.
 
   template <class Archive>
   void serialize(Archive& archive, unsigned /*version*/) {
     archive& request;
     archive& service;
-    archive& ends;
+    archive& terminations;
     archive& trials;
     archive& trial_age;
-    archive& asked_age;
+    archive& last_request_age;
     archive& stored;
   }
 };
 
 /// A datagram.
-struct CrashNews {
+struct CrashReportBatch {
   std::vector<CrashReport> reports;
 
   template <class Archive>
@@ -73,8 +73,8 @@
   }
 };
 
-/// How far back a node's ledger reaches: it has all ends since, of this many requests. Told behind
-/// the reports of these.
+/// How far back a node's ledger reaches: it has all terminations since, of this many requests.
+/// PendingReport behind the reports of these.
 struct HorizonReport {
   Duration age{};
   std::uint32_t requests = 0;
