--- a/src/admission/admission_control.cc
+++ b/src/admission/admission_control.cc
@@ -13,26 +13,26 @@
 using std::chrono::milliseconds;
 
 constexpr std::string_view kComponent = "admission";
-/// Callers who are told when to come back come over this part of the time they were told, so that
-/// they do not all meet the back end's first moment.
+/// Random part added to the forecast wait, so that callers do not all return at the moment at which
+/// the back end accepts requests again.
 constexpr double kJitterRatio = 0.25;
 constexpr Duration kMinJitter = milliseconds(50);
 constexpr Duration kMaxJitter = std::chrono::seconds(1);
-/// Pauses that end this close together are the same news.
+/// Backoffs whose ends differ by at most this are treated as the same.
 constexpr Duration kSameBackoffTolerance = milliseconds(500);
-/// What another node tells is believed for no longer; then this node asks the back end itself.
+/// Limit of a backoff reported by another node; after it this node sends to the back end itself.
 constexpr Duration kMaxReportedBackoff = std::chrono::minutes(1);
 
 constexpr metrics::CounterRow<AdmissionStatistics> kCounters[] = {
     {"backoffs_heard", "Answers in which a back end asked this node to back off",
      &AdmissionStatistics::backoffs_received},
-    {"backoffs_unreadable", "Refusals whose time to back off could not be read",
+    {"backoffs_unreadable", "Refusals whose backoff period could not be parsed",
      &AdmissionStatistics::backoffs_unreadable},
-    {"backoffs_told", "Times other nodes told that a back end had asked them to back off",
+    {"backoffs_told", "Backoffs of back ends reported by other nodes",
      &AdmissionStatistics::backoffs_reported},
-    {"leavings_heard", "Back ends that first said to this node that they leave",
+    {"leavings_heard", "Back ends that announced to this node first that they are leaving",
      &AdmissionStatistics::departures_received},
-    {"leavings_told", "Back ends that other nodes first told to be leaving",
+    {"leavings_told", "Back ends first reported as leaving by another node",
      &AdmissionStatistics::departures_reported},
 };
 
@@ -96,12 +96,12 @@
   if (statement.leaving) {
     note_leaving(answer.backend);
   } else if (statement.leaving_unreadable) {
-    log("statement of leaving cannot be read", answer.backend, "answer", {});
+    log("cannot parse leaving announcement", answer.backend, "answer", {});
   }
   if (statement.backoff.kind != gateway::BackoffStatement::Kind::kNone) {
     note_backoff(answer.backend, statement.backoff);
   } else if (!statement.not_run && backoffs_.note_good_answer(answer.backend, answer.sent)) {
-    log("back end takes requests again", answer.backend, "answer", {});
+    log("back end has recovered from backoff", answer.backend, "answer", {});
   }
 }
 
@@ -109,7 +109,7 @@
                                     const gateway::BackoffStatement& backoff) {
   if (backoff.kind == gateway::BackoffStatement::Kind::kUnreadable) {
     ++statistics_.backoffs_unreadable;
-    log("time to back off cannot be read", backend, backoff.text, {});
+    log("cannot parse backoff period", backend, backoff.text, {});
     return;
   }
   ++statistics_.backoffs_received;
@@ -117,7 +117,7 @@
   if (!backoffs_.note_backoff(backend, backoff.span, now)) {
     return;
   }
-  log("back end asks to back off", backend, "answer", backoff.span);
+  log("back end asked to back off", backend, "answer", backoff.span);
   const gateway::BackendLoad* load = dependencies_.loads.find(backend);
   const bool already_reported =
       load != nullptr && load->told_pause_until() + kSameBackoffTolerance >= now + backoff.span;
@@ -132,7 +132,7 @@
   }
   ++statistics_.departures_received;
   dependencies_.fleet.note_leaving(backend);
-  log("back end says that it leaves", backend, "answer", {});
+  log("back end is leaving", backend, "answer", {});
   broadcast_({.backend = backend, .leaving = true, .backoff = {}});
 }
 
@@ -140,9 +140,9 @@
   if (notice.leaving && !dependencies_.fleet.is_leaving(notice.backend)) {
     ++statistics_.departures_reported;
     dependencies_.fleet.note_leaving(notice.backend);
-    log("back end says that it leaves", notice.backend, "node", {});
+    log("back end is leaving", notice.backend, "node", {});
   }
-  // Of a back end that has gone, or was not seen yet, nothing would ever be forgotten again.
+  // For a back end that is not in the fleet view, the load entry would never be removed.
   if (notice.backoff <= Duration::zero() || dependencies_.fleet.find(notice.backend) == nullptr) {
     return;
   }
@@ -154,7 +154,7 @@
 void AdmissionControl::send_all(const std::function<void(const BackendNotice&)>& send) const {
   for (const gateway::BackendId& backend : dependencies_.fleet.leaving()) {
     const gateway::Backend* known = dependencies_.fleet.find(backend);
-    // The store tells of those that are draining there.
+    // Back ends that are draining are shown as such by the store.
     if (known != nullptr && !known->draining) {
       send({.backend = backend, .leaving = true, .backoff = {}});
     }
@@ -179,7 +179,7 @@
 
 void AdmissionControl::add_metrics(metrics::SampleSink& sink) const {
   metrics::add_counters(kCounters, statistics_, sink);
-  sink.gauge({"backends_backed_off", "Back ends that want nothing from this node for now"},
+  sink.gauge({"backends_backed_off", "Back ends that have asked this node to back off"},
              static_cast<double>(backoffs_.active_count(dependencies_.clock.now())));
 }
 
--- a/src/admission/admission_control.h
+++ b/src/admission/admission_control.h
@@ -1,5 +1,4 @@
-// The one place of a node that knows what back ends have said of what they take, and that says
-// whether a request may be sent to them.
+// Decides whether requests may be sent to a back end, from what the back end has announced.
 #pragma once
 
 #include <cstdint>
@@ -21,22 +20,26 @@
 namespace ochrespring::admission {
 
 struct AdmissionStatistics {
-  std::uint64_t backoffs_received = 0;    ///< Answers that asked this node for a pause.
-  std::uint64_t backoffs_unreadable = 0;  ///< Refusals whose time could not be read.
-  std::uint64_t backoffs_reported = 0;    ///< Pauses that other nodes have told of.
-  std::uint64_t departures_received = 0;  ///< Back ends that said so to this node first.
-  std::uint64_t departures_reported = 0;  ///< Back ends that other nodes told of first.
+  std::uint64_t backoffs_received = 0;    ///< Answers that asked this node to back off.
+  std::uint64_t backoffs_unreadable = 0;  ///< Refusals whose backoff period could not be parsed.
+  std::uint64_t backoffs_reported = 0;    ///< Backoffs reported by other nodes.
+  std::uint64_t departures_received =
+      0;  ///< Back ends that announced to this node first that they leave.
+  std::uint64_t departures_reported = 0;  ///< Back ends first reported as leaving by another node.
 };
 
-/// Joins what closes a back end to this node: a pause that it has asked this node for, its leaving,
-/// and its rate limit. Leaving is true for all nodes and told to them; so are pauses, but to others
-/// a pause only makes the back end a worse choice, as a refusal of their own would: it was asked of
-/// one node, and the others may have the room that this one has not.
+/// Combines the reasons for which this node must not send requests to a back end: it has asked this
+/// node to back off, it is leaving, or its rate limit is reached.
 ///
-/// Does no input or output itself; one loop.
+/// Other nodes are notified of both leaving and backoffs. Leaving applies to all nodes. A backoff
+/// applies only to the node that was asked, since the back end may have room for other nodes; for
+/// them, as a refusal of their own requests would, it only makes the back end a less preferred
+/// choice.
+///
+/// Performs no I/O itself. Not thread-safe; used on one event loop.
 class AdmissionControl final : public gateway::SendGate {
  public:
-  /// References outlive it.
+  /// The referenced objects must outlive the AdmissionControl.
   struct Dependencies {
     const Clock& clock;
     RandomSource& random;
@@ -46,7 +49,7 @@
     rate_limit::RateLimiter& rate_limiter;
   };
 
-  /// `send_all` takes news for all other nodes, which may be lost, doubled or late.
+  /// `broadcast` sends a notice to all other nodes; notices may be lost, duplicated or delayed.
   AdmissionControl(Dependencies dependencies, std::function<void(const BackendNotice&)> broadcast)
       : dependencies_(dependencies), broadcast_(std::move(broadcast)) {}
 
@@ -62,12 +65,12 @@
                                                 MonotonicTime now) const override;
   void note_answer(const gateway::BackendAnswer& answer) override;
 
-  /// A life of a back end has come to be known.
+  /// An incarnation of a back end was added to the fleet view.
   void note_backend_added(const gateway::BackendId& backend) {
     backoffs_.note_added(backend, dependencies_.clock.now());
   }
   void receive(const BackendNotice& notice);
-  /// Tells a node that has just started all that is known.
+  /// Sends all notices that are in force, for a node that has just started.
   void send_all(const std::function<void(const BackendNotice&)>& send) const;
 
   const AdmissionStatistics& statistics() const { return statistics_; }
--- a/src/admission/backoff_table.cc
+++ b/src/admission/backoff_table.cc
@@ -67,7 +67,8 @@
 
 bool BackoffTable::note_good_answer(const gateway::BackendId& backend, MonotonicTime sent) {
   const auto found = entries_.find(backend);
-  // An answer to a request from before the pause tells nothing of the back end after it.
+  // An answer to a request sent before or during the backoff period says nothing about the back end
+  // after it.
   if (found == entries_.end() || sent < found->second.until) {
     return false;
   }
@@ -85,8 +86,8 @@
                     [now](const auto& entry) { return entry.second.until > now; }));
 }
 
-/// Entries that are over are dropped whenever the table has doubled. Those that are not stay: each
-/// is one life of a back end that has answered this node.
+/// Drops expired entries whenever the table has doubled in size. The others must stay; each belongs
+/// to an incarnation of a back end that has answered this node.
 void BackoffTable::prune(MonotonicTime now) {
   if (entries_.size() < prune_at_) {
     return;
--- a/src/admission/backoff_table.h
+++ b/src/admission/backoff_table.h
@@ -1,4 +1,4 @@
-// Which back ends have asked this node to back off, and until when.
+// Back ends that have asked this node to back off.
 #pragma once
 
 #include <cstddef>
@@ -11,35 +11,38 @@
 
 namespace ochrespring::admission {
 
-/// A back end that has asked for a pause gets nothing until it is over. Then it gets one request,
-/// and with each good answer to one of these twice as many, so that it is not given at once all
-/// that waited for it. Of two pauses that overlap the later end counts.
+/// Tracks the backoff periods that back ends have asked this node for.
 ///
-/// Entries hang on the life of a back end and outlive its registration: one that is registered
-/// again has still asked, one that has started again has not. But a life that comes to be known
-/// soon after may be the one that asked: an answer does not tell its life, and may come before the
-/// registration. Pure; one loop.
+/// A back end gets no requests during its backoff period. Afterwards it gets one request, and with
+/// each good answer twice as many, so that it does not receive all waiting requests at once. Of two
+/// overlapping backoff periods the later end applies.
+///
+/// Entries belong to an incarnation of a back end and outlive its registration: a back end that
+/// registers again is still backing off, one that has restarted is not. An answer does not name the
+/// incarnation, however, and may arrive before the incarnation registers. So an incarnation that
+/// becomes known shortly after a backoff inherits it, because it may be the one that asked.
+///
+/// Performs no I/O. Not thread-safe.
 class BackoffTable {
  public:
-  /// The back end asks for a pause of `span` from `now` on; returns whether it ends later than what
-  /// was known.
+  /// Starts a backoff period of `span` at `now`; returns whether it ends later than the known one.
   bool note_backoff(const gateway::BackendId& backend, Duration span, MonotonicTime now);
-  /// Whether a request may be sent now, as far as pauses go.
+  /// Returns whether the backoff state allows a request to be sent now.
   bool has_room(const gateway::BackendId& backend, MonotonicTime now) const {
     return time_to_room(backend, now) == Duration::zero();
   }
   void note_send(const gateway::BackendId& backend, MonotonicTime now);
-  /// An answer that turned nothing away, to a request that was sent at `sent`; returns whether all
-  /// that is left of the pause has ended with it.
+  /// Notes an answer that accepted a request sent at `sent`; returns whether the back end has now
+  /// fully recovered.
   bool note_good_answer(const gateway::BackendId& backend, MonotonicTime sent);
 
-  /// A life of a back end has come to be known: see above.
+  /// An incarnation of a back end has become known; it may inherit a backoff, see above.
   void note_added(const gateway::BackendId& backend, MonotonicTime now);
-  /// Whether the back end has asked for nothing, as yet.
+  /// Returns whether the back end is in its backoff period.
   bool is_backing_off(const gateway::BackendId& backend, MonotonicTime now) const;
-  /// What has_room() waits for; zero: nothing.
+  /// Returns the time until has_room() may become true; zero if it is true now.
   Duration time_to_room(const gateway::BackendId& backend, MonotonicTime now) const;
-  /// All that have no room now.
+  /// Visits all back ends without room at `now`.
   template <class Visit>
   void for_each_without_room(MonotonicTime now, const Visit& visit) const {
     for (const auto& [backend, entry] : entries_) {
@@ -48,24 +51,26 @@
       }
     }
   }
+  /// Returns the number of back ends in their backoff period.
   std::size_t active_count(MonotonicTime now) const;
 
  private:
-  /// Answered so often, a back end is believed to be well.
+  /// Window size at which a back end counts as recovered.
   static constexpr std::uint32_t kRecoveredWindow = 8;
-  /// A request whose answer does not come does not keep the back end closed for longer.
+  /// After this time without an answer, the back end gets another request.
   static constexpr Duration kProbeInterval{std::chrono::milliseconds(100)};
-  /// The back end has had requests for so long since its pause, or nobody has asked for it.
+  /// Time after the end of the backoff period at which the window no longer applies.
   static constexpr Duration kRecoveryPeriod{std::chrono::seconds(2)};
   static constexpr std::size_t kMinPruneSize = 1024;
-  /// A back end that has started again is registered within this time of its first answers.
+  /// A restarted back end registers within this time of its first answers.
   static constexpr Duration kRegistrationLag{std::chrono::seconds(3)};
-  /// Of a pause that another life may have asked for: then that one is asked itself.
+  /// Limit of an inherited backoff; after it the new incarnation is sent a request and can ask
+  /// itself.
   static constexpr Duration kMaxInheritedBackoff{std::chrono::seconds(10)};
 
   struct Entry {
     MonotonicTime until{};
-    std::uint32_t window = 1;  ///< Requests that may be sent in all since the pause.
+    std::uint32_t window = 1;  ///< Total requests allowed since the backoff period.
     std::uint32_t sent = 0;
     MonotonicTime last_sent{};
   };
@@ -73,15 +78,16 @@
   static Duration time_to_room(const Entry& entry, MonotonicTime now);
   void prune(MonotonicTime now);
 
-  /// The last pause that was asked for under a name.
+  /// The last backoff that was asked for under a back end's name.
   struct LastBackoff {
     MonotonicTime received_at{};
     MonotonicTime until{};
   };
 
   std::map<gateway::BackendId, Entry> entries_;
-  std::map<std::string, LastBackoff> last_backoffs_;  ///< By name of back ends that have lives.
-  std::size_t prune_at_ = kMinPruneSize;              ///< Size at which ended entries are dropped.
+  std::map<std::string, LastBackoff>
+      last_backoffs_;                     ///< By name; only back ends with incarnations.
+  std::size_t prune_at_ = kMinPruneSize;  ///< Size at which expired entries are dropped.
 };
 
 }  // namespace ochrespring::admission
--- a/src/admission/tests/admission_control_test.cc
+++ b/src/admission/tests/admission_control_test.cc
@@ -1,4 +1,4 @@
-// One node's knowledge of what back ends have said, and what it tells and is told of it.
+// Tests how a node handles the announcements of back ends, and which notices it sends and receives.
 #include "admission/admission_control.h"
 
 #include <doctest/doctest.h>
@@ -73,8 +73,9 @@
 
 }  // namespace
 
-TEST_CASE_FIXTURE(AdmissionFixture,
-                  "a pause outlives the registration, and another life begins anew") {
+TEST_CASE_FIXTURE(
+    AdmissionFixture,
+    "a backoff outlives the registration, and does not apply to another incarnation") {
   receive_backoff("a@1", 6s);
   advance(4s);
   fleet.remove(gateway::BackendId("a@1"));
@@ -87,8 +88,8 @@
 }
 
 TEST_CASE_FIXTURE(AdmissionFixture,
-                  "a pause that a new life asks for before it is registered binds what it gets "
-                  "under its own id") {
+                  "an incarnation inherits a backoff that was asked for shortly before it "
+                  "registered") {
   receive_backoff("a@1", 60s);
   advance(300ms);
   fleet.remove(gateway::BackendId("a@1"));
@@ -106,7 +107,7 @@
 }
 
 TEST_CASE_FIXTURE(AdmissionFixture,
-                  "leaving outlives the registration, whatever the store says after it") {
+                  "leaving outlives the registration, even if the store shows otherwise later") {
   receive_departure("a@1");
   fleet.remove(gateway::BackendId("a@1"));
   register_backend("a@1");
@@ -116,7 +117,7 @@
   CHECK(admission.may_send(gateway::BackendId("a@2"), time.now()));
 }
 
-TEST_CASE_FIXTURE(AdmissionFixture, "others are told once of a pause, and once of leaving") {
+TEST_CASE_FIXTURE(AdmissionFixture, "a backoff and leaving are each broadcast once") {
   receive_backoff("a@1", 3s);
   receive_backoff("a@1", 2s);
   receive_departure("b@1");
@@ -127,8 +128,8 @@
 }
 
 TEST_CASE_FIXTURE(AdmissionFixture,
-                  "a pause that another node was asked for makes a back end a worse choice, and "
-                  "does not close it") {
+                  "a backoff reported by another node makes a back end less preferred but does "
+                  "not exclude it") {
   admission.receive({gateway::BackendId("a@1"), false, 3s});
   CHECK(has_room("a@1"));
   const gateway::BackendLoad* load = loads.find(gateway::BackendId("a@1"));
@@ -140,21 +141,21 @@
 }
 
 TEST_CASE_FIXTURE(AdmissionFixture,
-                  "whatever pause another node tells of, it is believed for a while") {
+                  "a backoff reported by another node expires, whatever its length") {
   for (const Duration reported_backoff : {Duration(-1s), Duration::max(), Duration::min()}) {
     admission.receive({gateway::BackendId("a@1"), false, reported_backoff});
     CHECK(loads.of(gateway::BackendId("a@1")).refusal_share(time.now() + 61s) == 0);
   }
 }
 
-TEST_CASE_FIXTURE(AdmissionFixture, "leaving that another node tells of binds this one") {
+TEST_CASE_FIXTURE(AdmissionFixture, "leaving that another node reports applies to this node") {
   admission.receive({gateway::BackendId("a@1"), true, {}});
   CHECK(fleet.is_leaving(gateway::BackendId("a@1")));
   receive_departure("a@1");
   CHECK(broadcast.empty());
 }
 
-TEST_CASE_FIXTURE(AdmissionFixture, "a node that has started is told what is in force") {
+TEST_CASE_FIXTURE(AdmissionFixture, "a node that has started is sent the notices in force") {
   receive_backoff("a@1", 3s);
   receive_departure("b@1");
   advance(1s);
@@ -166,8 +167,7 @@
 }
 
 TEST_CASE_FIXTURE(AdmissionFixture,
-                  "a forecast is the first moment at which neither a pause nor a limit is in the "
-                  "way, and a little later") {
+                  "a forecast is the earliest end of a backoff or rate limit, plus jitter") {
   CHECK_FALSE(admission.forecast(ServiceName("relay"), time.now()));
   receive_backoff("a@1", 4s);
   receive_backoff("b@1", 2s);
@@ -181,7 +181,7 @@
   CHECK_FALSE(admission.forecast(ServiceName("other"), time.now()));
 }
 
-TEST_CASE_FIXTURE(AdmissionFixture, "what cannot be read closes nothing") {
+TEST_CASE_FIXTURE(AdmissionFixture, "announcements that cannot be parsed have no effect") {
   gateway::BackendStatement statement;
   statement.backoff = {.kind = Kind::kUnreadable, .span = {}, .text = "soon"};
   statement.leaving_unreadable = true;
@@ -191,8 +191,9 @@
   CHECK(admission.statistics().backoffs_unreadable == 1);
 }
 
-// In a large release each node that started was sent a notice for every server that drained.
-TEST_CASE("a node that starts is not told of what the store itself shows") {
+// Guards against sending a notice for every draining back end to each node that starts during a
+// large release.
+TEST_CASE("a node that starts is not sent notices of back ends that the store shows as draining") {
   AdmissionFixture fixture;
   fixture.receive_departure("a@1");
   gateway::Backend draining = *fixture.fleet.find(gateway::BackendId("b@1"));
--- a/src/admission/tests/backoff_table_test.cc
+++ b/src/admission/tests/backoff_table_test.cc
@@ -1,4 +1,4 @@
-// What back ends have asked for is kept to until it is over, and no longer.
+// Tests that backoff periods are respected until they end, and no longer.
 #include "admission/backoff_table.h"
 
 #include <doctest/doctest.h>
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-TEST_CASE("of two pauses that overlap the later end counts") {
+TEST_CASE("of two overlapping backoff periods the later end applies") {
   BackoffTable table;
   CHECK(table.note_backoff(kBackend, 3s, at(0s)));
   CHECK_FALSE(table.note_backoff(kBackend, 1s, at(1s)));
@@ -36,19 +36,20 @@
   CHECK_FALSE(table.is_backing_off(kBackend, at(4s)));
 }
 
-TEST_CASE("no time at all asks for nothing") {
+TEST_CASE("a backoff period of zero has no effect") {
   BackoffTable table;
   CHECK_FALSE(table.note_backoff(kBackend, 0s, at(0s)));
   CHECK(table.has_room(kBackend, at(0s)));
 }
 
-TEST_CASE("another life of a server has not asked") {
+TEST_CASE("another incarnation of a back end is not backing off") {
   BackoffTable table;
   table.note_backoff(kBackend, 3s, at(0s));
   CHECK(table.has_room(gateway::BackendId("s@2"), at(1s)));
 }
 
-TEST_CASE("after a pause a back end gets one request, then twice as many with each good answer") {
+TEST_CASE(
+    "after a backoff period the window starts at one request and doubles with each good answer") {
   BackoffTable table;
   table.note_backoff(kBackend, 1s, at(0s));
   const MonotonicTime end = at(1s);
@@ -70,7 +71,7 @@
   CHECK(sends_until_full() == 100);
 }
 
-TEST_CASE("a back end whose answers do not come is not left alone for good") {
+TEST_CASE("a back end that does not answer is sent further requests after the backoff period") {
   BackoffTable table;
   table.note_backoff(kBackend, 1s, at(0s));
   table.note_send(kBackend, at(1s));
@@ -81,11 +82,11 @@
   CHECK(table.has_room(kBackend, at(3s)));
 }
 
-TEST_CASE("whatever is asked and answered, nothing is sent in a pause, and all is open after it") {
+TEST_CASE("nothing is sent during a backoff period, and everything is allowed after recovery") {
   CHECK(rc::check(
       [](const std::vector<std::tuple<std::uint8_t, std::uint8_t, std::uint16_t>>& steps) {
         BackoffTable table;
-        std::map<std::string, MonotonicTime> ends;  // The oracle.
+        std::map<std::string, MonotonicTime> ends;  // Reference model.
         MonotonicTime now = at(0s);
         for (const auto& [server, kind, milliseconds] : steps) {
           const std::string name = "s@" + std::to_string(server % 3);
--- a/src/admission/types.h
+++ b/src/admission/types.h
@@ -1,4 +1,4 @@
-// What nodes tell each other of back ends that ask for less.
+// Messages between nodes about back ends that are leaving or have asked to back off.
 #pragma once
 
 #include "base/time.h"
@@ -6,12 +6,12 @@
 
 namespace ochrespring::admission {
 
-/// What a back end has said to the node that tells it.
+/// What a back end has announced to the sending node.
 struct BackendNotice {
   gateway::BackendId backend;
-  bool leaving = false;  ///< It ends soon: true for all nodes, and for good.
-  /// It wants nothing for so long from the node that tells it, and perhaps as little from others;
-  /// zero: it has not asked.
+  bool leaving = false;  ///< It shuts down soon; final, and valid for all nodes.
+  /// Remaining backoff period that it asked the sending node for; zero if none. It may not have
+  /// room for requests of other nodes either.
   Duration backoff{};
 
   template <class Archive>
--- a/src/peer_load/datagram_socket.cc
+++ b/src/peer_load/datagram_socket.cc
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr std::size_t kMaxDatagramBytes = 8192;
-/// Datagrams taken in one turn of the loop.
+/// Maximum number of datagrams received for one event of the loop.
 constexpr int kMaxDatagramsPerRead = 64;
 
 }  // namespace
@@ -54,7 +54,7 @@
     http::EventLoop& loop, const Endpoint& endpoint, Receive receive) {
   const auto address = parse_endpoint(endpoint);
   if (!address) {
-    return fail(http::HttpErrc::kAddressInvalid, "not an address: " + endpoint.value());
+    return fail(http::HttpErrc::kAddressInvalid, "invalid address: " + endpoint.value());
   }
   const int descriptor =
       ::socket(address->storage.ss_family, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
@@ -62,7 +62,7 @@
     if (descriptor >= 0) {
       ::close(descriptor);
     }
-    return fail(http::HttpErrc::kAddressInUse, "cannot bind " + endpoint.value());
+    return fail(http::HttpErrc::kAddressInUse, "cannot bind UDP socket to " + endpoint.value());
   }
   auto state = std::make_unique<State>();
   state->receive = std::move(receive);
--- a/src/peer_load/datagram_socket.h
+++ b/src/peer_load/datagram_socket.h
@@ -1,4 +1,4 @@
-// A UDP socket on a loop.
+// A UDP socket on an event loop.
 #pragma once
 
 #include <functional>
@@ -12,12 +12,14 @@
 
 namespace ochrespring::peer_load {
 
-/// Datagrams may be lost, doubled or late. Used on the loop only.
+/// Sends and receives UDP datagrams, which may be lost, duplicated or delayed. Not thread-safe;
+/// used on its event loop only.
 class DatagramSocket {
  public:
   using Receive = std::function<void(std::string_view bytes)>;
 
-  /// Binds; `receive` is called for each datagram.
+  /// Binds a socket to `endpoint`; `receive` is called for each datagram. Fails with
+  /// kAddressInvalid or kAddressInUse.
   static Result<std::unique_ptr<DatagramSocket>, http::HttpError> bind(http::EventLoop& loop,
                                                                        const Endpoint& endpoint,
                                                                        Receive receive);
@@ -25,8 +27,9 @@
   DatagramSocket(const DatagramSocket&) = delete;
   DatagramSocket& operator=(const DatagramSocket&) = delete;
 
-  /// Sends if the network takes it now; else the datagram is lost.
+  /// Sends a datagram, or drops it if the socket is not writable at once.
   void send(const Endpoint& endpoint, std::string_view bytes);
+  /// Returns the local address, with the port that was assigned.
   Endpoint bound() const;
 
  private:
--- a/src/peer_load/peer_work.cc
+++ b/src/peer_load/peer_work.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Takes off what was added before, or at most all.
+/// Subtracts work that was added before; does not go below zero.
 void subtract(EngineWorkload& sum, const EngineWorkload& work) {
   sum.requests -= std::min(sum.requests, work.requests);
   sum.unread_tokens -= std::min(sum.unread_tokens, work.unread_tokens);
@@ -24,7 +24,7 @@
       engine.oldest_report_at = now;
     }
     NodeReport& latest = engine.nodes[report.node];
-    // Datagrams may overtake each other.
+    // Datagrams may arrive out of order.
     if (latest.incarnation == report.incarnation && latest.sequence > report.sequence) {
       continue;
     }
--- a/src/peer_load/peer_work.h
+++ b/src/peer_load/peer_work.h
@@ -1,4 +1,4 @@
-// What the other nodes do at engines, as far as they have told.
+// The work of other nodes at engines, as reported by them.
 #pragma once
 
 #include <functional>
@@ -11,31 +11,33 @@
 
 namespace ochrespring::peer_load {
 
-/// Knows the work of others in two ways: by the reports of each node (direct), and by the sums over
-/// all nodes that a relay sends (relayed). Either may be incomplete while relays change, so the
-/// larger one counts.
+/// Estimates the work of other nodes at each engine from two sources: the reports of each node
+/// (direct), and the sums over all nodes that a relay sends (relayed). Either may be incomplete
+/// while relays change, so the larger value is used.
 ///
-/// Pure; one loop. A report counts until a newer one of the same node names the engine, or for
-/// `kReportLifetime`: a node that died or was cut off tells no end of its work.
+/// A report is valid until a newer one of the same node names the engine, or for `kReportLifetime`,
+/// because a node that died or was partitioned does not report the end of its work.
+///
+/// Performs no I/O. Not thread-safe.
 class PeerWork final : public gateway::PeerView {
  public:
-  /// Two and a half times the period at which work that goes on is told again.
+  /// Two and a half times the interval at which ongoing work is reported again.
   static constexpr Duration kReportLifetime{std::chrono::milliseconds(2500)};
 
-  /// This node's own work at an engine, which the sums of relays include.
+  /// Returns this node's own work at an engine, which the sums of relays include.
   using OwnWork = std::function<gateway::EngineWorkload(const gateway::BackendId& engine)>;
 
-  /// Without `own`, nothing is taken off relayed sums.
+  /// Without `own`, nothing is subtracted from relayed sums.
   explicit PeerWork(OwnWork own = {}) : own_(std::move(own)) {}
 
   void apply(const WorkReport& report, MonotonicTime now);
-  /// A relay has told sums over all nodes.
+  /// Applies the sums over all nodes that a relay has sent.
   void apply_relayed(const WorkReport& sums, MonotonicTime now);
-  /// The engine has gone; its id is not used again.
+  /// Drops the data of an engine that was removed; its id is not used again.
   void forget(const gateway::BackendId& engine);
   gateway::EngineWorkload work_at(const gateway::BackendId& engine,
                                   MonotonicTime now) const override;
-  /// The sum of what other nodes themselves have told this one.
+  /// Returns the sum of the reports that this node received from the other nodes directly.
   gateway::EngineWorkload direct_work_at(const gateway::BackendId& engine, MonotonicTime now) const;
 
  private:
@@ -46,12 +48,12 @@
     MonotonicTime received_at{};
   };
 
-  /// What all nodes have told of one engine. The sum is kept up to date, so that neither a report
-  /// nor a placement walks over all nodes.
+  /// The reports of all nodes on one engine. The sum is kept up to date, so that neither a report
+  /// nor a placement iterates over all nodes.
   struct Engine {
     std::map<NodeId, NodeReport> nodes;
     gateway::EngineWorkload sum;
-    MonotonicTime oldest_report_at{};  ///< No entry is older.
+    MonotonicTime oldest_report_at{};  ///< Lower bound of `received_at` of all entries.
   };
 
   struct RelayedSum {
--- a/src/peer_load/tests/peer_load_test.cc
+++ b/src/peer_load/tests/peer_load_test.cc
@@ -1,4 +1,4 @@
-// What nodes believe of each other's work, with datagrams lost, late and doubled.
+// Tests the exchange of work reports between nodes, with datagrams lost, delayed and duplicated.
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
@@ -32,7 +32,7 @@
             .prefilled_parts = {}}}};
 }
 
-/// A node and what it announces of its own work.
+/// A node and the reports that it sends about its own work.
 struct AnnouncingNode {
   simulation::VirtualTime time;
   gateway::LoadTable loads;
@@ -45,7 +45,7 @@
 
 }  // namespace
 
-TEST_CASE("the work of several nodes adds up, and the newest report of each counts") {
+TEST_CASE("the newest reports of several nodes are summed") {
   PeerWork work;
   const MonotonicTime now{};
   work.apply(make_report("a", 1, 2, 100), now);
@@ -57,7 +57,8 @@
   CHECK(work.work_at(BackendId("other"), now).requests == 0);
 }
 
-TEST_CASE("work of a node that falls silent is forgotten; a new life begins anew") {
+TEST_CASE(
+    "the work of a node that stops reporting expires; a new incarnation restarts its sequence") {
   PeerWork work;
   MonotonicTime now{};
   work.apply(make_report("a", 50, 2, 100), now);
@@ -69,7 +70,7 @@
   CHECK(work.work_at(BackendId("e"), now).requests == 1);
 }
 
-TEST_CASE("of what a relay adds up, this node's own work is not that of others") {
+TEST_CASE("this node's own work is subtracted from relayed sums") {
   gateway::LoadTable loads;
   PeerWork work([&](const BackendId& engine) { return loads.own(engine); });
   const MonotonicTime now{};
@@ -77,13 +78,13 @@
   work.apply_relayed(make_report("relay", 1, 3, 700), now);
   CHECK(work.work_at(BackendId("e"), now).requests == 2);
   CHECK(work.work_at(BackendId("e"), now).unread_tokens == 600);
-  // The sum may be older than what began here since.
+  // The sum may be older than the work that has begun here since.
   work.apply_relayed(make_report("relay", 2, 0, 0), now);
   CHECK(work.work_at(BackendId("e"), now).requests == 0);
   CHECK(work.work_at(BackendId("e"), now).unread_tokens == 0);
 }
 
-TEST_CASE("a relay's sums are forgotten when relays fall silent; what a node tells itself counts") {
+TEST_CASE("relayed sums expire when relays stop reporting; direct reports still count") {
   PeerWork work;
   const MonotonicTime now{};
   work.apply_relayed(make_report("relay", 1, 3, 700), now);
@@ -95,7 +96,7 @@
   CHECK(work.work_at(BackendId("e"), now + 3s).requests == 0);
 }
 
-TEST_CASE("sums of direct reports are those of the newest report of each living node") {
+TEST_CASE("direct work is the sum of the newest unexpired report of each node") {
   CHECK(rc::check(
       [](const std::vector<std::tuple<std::uint8_t, std::uint8_t, std::uint16_t>>& steps) {
         PeerWork work;
@@ -108,8 +109,8 @@
                      now);
           expected[node % 5] = {requests, now};
           std::uint32_t sum = 0;
-          for (const auto& [id, told] : expected) {
-            sum += now - told.second <= PeerWork::kReportLifetime ? told.first : 0;
+          for (const auto& [id, report] : expected) {
+            sum += now - report.second <= PeerWork::kReportLifetime ? report.first : 0;
           }
           RC_ASSERT(work.work_at(BackendId("e"), now).requests == sum);
           RC_ASSERT(work.work_at(BackendId("e"), now).unread_tokens == sum);
@@ -117,7 +118,7 @@
       }));
 }
 
-TEST_CASE("a relay tells sums, ends and parts together, and repeats nothing by itself") {
+TEST_CASE("a relay sends sums, attempts and parts together and does not refresh them") {
   simulation::VirtualTime time;
   PeerWork work;
   std::vector<WorkReport> sent;
@@ -148,7 +149,7 @@
   CHECK(sum.prefilled_parts.size() == 2);
 }
 
-TEST_CASE("a report on very many engines goes out in datagrams that others can take") {
+TEST_CASE("a report on many engines is split into datagrams of valid size") {
   AnnouncingNode fixture;
   for (int i = 0; i != 770; ++i) {
     const BackendId engine("i-0123456789abcdef" + std::to_string(i));
@@ -164,7 +165,7 @@
   CHECK(engines >= 770);
 }
 
-TEST_CASE("a node announces changes together, repeats what is not over, and then is quiet") {
+TEST_CASE("a node batches changes, refreshes ongoing work and stops when it has ended") {
   AnnouncingNode fixture;
   fixture.loads.on_change([&](const BackendId& id) { fixture.announcer.note_change(id); });
   fixture.loads.begin(BackendId("e"), 40);
@@ -182,7 +183,7 @@
   CHECK(fixture.sent.size() == 3);
 }
 
-TEST_CASE("a silent back end is told once, with its work") {
+TEST_CASE("an unresponsive back end is reported once, together with its work") {
   AnnouncingNode fixture;
   fixture.loads.on_change([&](const BackendId& id) { fixture.announcer.note_change(id); });
   fixture.loads.on_silence([&](const BackendId& id) { fixture.announcer.note_silence(id); });
@@ -196,7 +197,7 @@
   CHECK_FALSE(fixture.sent[1].engines[0].silent);
 }
 
-TEST_CASE("how attempts ended is told once") {
+TEST_CASE("the outcomes of attempts are reported once") {
   AnnouncingNode fixture;
   fixture.loads.on_change([&](const BackendId& id) { fixture.announcer.note_change(id); });
   fixture.loads.on_end(
@@ -215,7 +216,7 @@
   CHECK(fixture.sent[1].engines[0].ended == 0);
 }
 
-TEST_CASE("a node that starts is told all parts, in datagrams that others can take") {
+TEST_CASE("a node that starts is sent all cached parts, in datagrams of valid size") {
   AnnouncingNode fixture;
   for (const char* engine : {"e1", "e2", "e3"}) {
     std::vector<std::uint64_t> keys;
@@ -225,7 +226,7 @@
     fixture.loads.note_parts(BackendId(engine), keys, fixture.time.now());
   }
   fixture.loads.begin(BackendId("e2"), 40);
-  std::map<BackendId, std::set<std::uint64_t>> told;
+  std::map<BackendId, std::set<std::uint64_t>> received;
   std::uint64_t sequence = 0;
   fixture.announcer.send_cached_parts(
       fixture.loads, fixture.time.now() + 1s, [&](const WorkReport& report) {
@@ -233,15 +234,16 @@
         CHECK(report.sequence > sequence);
         sequence = report.sequence;
         for (const EngineWork& work : report.engines) {
-          told[work.engine].insert(work.prefilled_parts.begin(), work.prefilled_parts.end());
+          received[work.engine].insert(work.prefilled_parts.begin(), work.prefilled_parts.end());
           CHECK(work.requests == (work.engine == BackendId("e2") ? 1 : 0));
         }
       });
-  REQUIRE(told.size() == 3);
-  for (const auto& [engine, keys] : told) {
+  REQUIRE(received.size() == 3);
+  for (const auto& [engine, keys] : received) {
     CHECK(keys.size() == 700);
   }
-  // After a minute an engine is believed to keep what it read last: ten parts besides that one.
+  // After a minute an engine is assumed to have cached only its last prefills: ten parts besides
+  // the last one.
   std::size_t parts = 0;
   fixture.announcer.send_cached_parts(fixture.loads, fixture.time.now() + 60s,
                                       [&](const WorkReport& report) {
@@ -257,7 +259,7 @@
   CHECK(late == 0);
 }
 
-TEST_CASE("reports survive their encoding, and arbitrary bytes are refused") {
+TEST_CASE("reports survive a round trip through the codec, and arbitrary bytes are handled") {
   const WorkReport report = make_report("a", 3, 2, 100);
   const auto read = wire::decode<WorkReport>(wire::encode(report));
   REQUIRE(read);
@@ -270,7 +272,7 @@
   }));
 }
 
-TEST_CASE("datagrams pass between sockets on loopback") {
+TEST_CASE("a datagram is delivered between two sockets on loopback") {
   http::EventLoop loop;
   std::string received;
   auto receiver = DatagramSocket::bind(loop, Endpoint("127.0.0.1:0"), [&](std::string_view bytes) {
--- a/src/peer_load/types.h
+++ b/src/peer_load/types.h
@@ -1,4 +1,4 @@
-// What nodes tell each other of their work at engines.
+// Messages between nodes about their work at engines.
 #pragma once
 
 #include <cstdint>
@@ -10,16 +10,18 @@
 
 namespace ochrespring::peer_load {
 
-/// One node's work at one engine now; absolute, so that a lost message is mended by the next.
+/// The current work of one node at one engine. Values are absolute, so that the next report makes
+/// up for a lost one.
 struct EngineWork {
   gateway::BackendId engine;
   std::uint32_t requests = 0;
-  std::uint64_t pending_prefill_tokens = 0;
-  std::uint32_t ended = 0;   ///< Attempts since the last report that tell of its health.
-  std::uint32_t failed = 0;  ///< Of these, in failure.
-  bool silent = false;       ///< It has not answered this node at all, just now.
-  std::vector<std::uint64_t>
-      prefilled_parts;  ///< Keys of shared prompt parts read since the last report.
+  std::uint64_t pending_prefill_tokens = 0;  ///< Input tokens that are not prefilled yet.
+  std::uint32_t ended =
+      0;  ///< Attempts that ended since the last report and reflect the health of the engine.
+  std::uint32_t failed = 0;  ///< Those of `ended` that failed.
+  bool silent = false;       ///< The engine has just been unresponsive to this node.
+  /// Keys of shared prompt parts that were prefilled since the last report.
+  std::vector<std::uint64_t> prefilled_parts;
 
   template <class Archive>
   void serialize(Archive& archive, unsigned /*version*/) {
@@ -33,8 +35,8 @@
   }
 };
 
-/// A node that has just started asks what the others believe engines to keep. They answer with
-/// reports.
+/// Sent by a node that has just started, to ask which prompt parts engines are assumed to have
+/// cached. The reply consists of work reports.
 struct PartsRequest {
   Endpoint reply_to;
 
@@ -44,11 +46,11 @@
   }
 };
 
-/// One datagram: a node's own work, or, from a relay, sums over all nodes.
+/// One datagram with a node's own work or, from a relay, sums over all nodes.
 struct WorkReport {
   NodeId node;
-  std::uint64_t incarnation = 0;  ///< Drawn at the sender's start.
-  std::uint64_t sequence = 0;     ///< Rises within one life.
+  std::uint64_t incarnation = 0;  ///< Drawn at random when the sender starts.
+  std::uint64_t sequence = 0;     ///< Increases within one incarnation.
   std::vector<EngineWork> engines;
 
   template <class Archive>
@@ -60,7 +62,8 @@
   }
 };
 
-/// Sums over all nodes that have reported to a relay, and what else they told since its last.
+/// Sums over all nodes that have reported to a relay, with the attempts and prompt parts reported
+/// since its last message.
 struct RelayedReport {
   WorkReport sums;
 
--- a/src/peer_load/work_announcer.h
+++ b/src/peer_load/work_announcer.h
@@ -1,4 +1,4 @@
-// Tells other nodes of work at engines: this node's own, or what a relay has been told.
+// Sends reports on the work at engines to other nodes: this node's own work, or a relay's sums.
 #pragma once
 
 #include <functional>
@@ -12,56 +12,59 @@
 
 namespace ochrespring::peer_load {
 
-/// Who announces, and how often.
+/// The sender's identity and the timing of its reports.
 struct WorkAnnouncerOptions {
   NodeId node;
-  std::uint64_t incarnation = 0;  ///< Drawn at the node's start.
-  /// All changes of this time go out in one report. A node's own work is told at once but for what
-  /// one request changes in a row.
+  std::uint64_t incarnation = 0;  ///< Drawn at random when the node starts.
+  /// All changes within this period are sent in one report. The short default sends a node's own
+  /// work almost at once, but combines the changes that one request makes in a row.
   Duration batch_window{std::chrono::milliseconds(1)};
-  /// Whether work that goes on is told again by itself. A relay tells it when it is told.
+  /// Whether ongoing work is reported again periodically. A relay doesn't need this: it sends sums
+  /// whenever it receives a report.
   bool refresh = true;
 };
 
-/// Sends a report when work changes, with all changes of a short while in one, and repeats what is
-/// not over, so that it stays believed. One loop.
+/// Sends a report when work changes, with all changes within a short period in one report, and
+/// repeats ongoing work before receivers expire it. Not thread-safe; used on one event loop.
 class WorkAnnouncer {
  public:
   using Send = std::function<void(const WorkReport&)>;
-  /// The work at an engine now.
+  /// Returns the current work at an engine.
   using WorkOf = std::function<gateway::EngineWorkload(const gateway::BackendId& engine)>;
 
   WorkAnnouncer(TimerService& timers, WorkAnnouncerOptions options, WorkOf work_of, Send send);
 
-  /// The work at an engine has changed.
+  /// Schedules a report on the engine, because the work there has changed.
   void note_change(const gateway::BackendId& engine);
-  /// A back end has fallen silent, or could not be reached.
+  /// Schedules a report that the back end is unresponsive or cannot be reached.
   void note_silence(const gateway::BackendId& backend);
-  /// An attempt at an engine has ended; told with the next report on it.
+  /// Counts an attempt at an engine that has ended; included in the next report on the engine.
   void note_attempt_end(const gateway::BackendId& engine, bool failed) {
     note_attempt_ends(engine, 1, failed ? 1 : 0);
   }
   void note_attempt_ends(const gateway::BackendId& engine, std::uint32_t ended,
                          std::uint32_t failed);
-  /// An engine reads shared prompt parts; told with the next report on it.
+  /// Schedules a report that an engine prefills shared prompt parts.
   void note_prefilled_parts(const gateway::BackendId& engine,
                             const std::vector<std::uint64_t>& keys);
-  /// What a node told a relay: its engines have changed, and the rest goes out with the next
-  /// report.
+  /// As a relay, schedules reports on the engines in a node's report, including its attempts and
+  /// prompt parts.
   void note_report(const WorkReport& report);
-  /// Everything this node believes engines to keep, for a node that has just started.
+  /// Sends all prompt parts that engines are assumed to have cached, for a node that has just
+  /// started.
   void send_cached_parts(const gateway::LoadTable& loads, MonotonicTime now, const Send& send);
 
  private:
-  /// Work that goes on is told again after this time; see `PeerWork::kReportLifetime`.
+  /// Ongoing work is reported again at this interval; see `PeerWork::kReportLifetime`.
   static constexpr Duration kRefreshInterval{std::chrono::milliseconds(1000)};
 
-  /// A report with this many of both fits into a datagram: 10 and some 45 bytes each.
+  /// Limits for one report, so that it fits into a datagram: a part takes 10 bytes, an engine about
+  /// 45.
   static constexpr std::size_t kMaxParts = 400;
   static constexpr std::size_t kMaxEngines = 80;
 
   void announce();
-  /// Adds to the report; what is too much for one goes out before.
+  /// Adds to the report; sends it first when it is full.
   void append(EngineWork work, const Send& send);
   void flush(const Send& send);
   EngineWork work_at(const gateway::BackendId& engine) const;
@@ -71,7 +74,7 @@
   bool refreshes_;
   WorkOf work_of_;
   Send send_;
-  WorkReport report_;  ///< Engines are filled in for each datagram.
+  WorkReport report_;  ///< `engines` is filled for each datagram.
   std::size_t parts_in_report_ = 0;
   std::set<gateway::BackendId> changed_;
   std::set<gateway::BackendId> busy_;
--- a/src/quarantine/crash_announcer.cc
+++ b/src/quarantine/crash_announcer.cc
@@ -10,7 +10,8 @@
 
 using gateway::RequestFingerprint;
 
-/// Bytes of one datagram, by what a report and each of its terminations take at most.
+/// Maximum size of a batch in bytes, so that it fits into a datagram, and upper bounds for the
+/// encoded size of a report and of each of its terminations.
 constexpr std::size_t kMaxBatchBytes = 6000;
 constexpr std::size_t kReportBytes = 80;
 constexpr std::size_t kTerminationBytes = 80;
--- a/src/quarantine/crash_announcer.h
+++ b/src/quarantine/crash_announcer.h
@@ -1,4 +1,4 @@
-// Tells other nodes what is known of requests under which backends have ended.
+// Sends crash reports to other nodes.
 #pragma once
 
 #include <chrono>
@@ -15,22 +15,23 @@
 namespace ochrespring::quarantine {
 
 struct CrashAnnouncerOptions {
-  /// All changes of this time go out together.
+  /// All changes within this period are sent together.
   Duration batch_window{std::chrono::milliseconds(3)};
-  /// After which pauses a change is told again: of datagrams that are lost 3 in 100 times, one
-  /// change in 37,000 is lost with two repeats. The first is shorter than most callers' pause
-  /// between two tries, the second longer than most bursts of losses.
+  /// Delays after which a change is sent again. With 3 % of datagrams lost, two resends lose one
+  /// change in 37,000. The first delay is shorter than the interval at which most callers retry,
+  /// the second longer than most bursts of packet loss.
   std::vector<Duration> resend_delays{std::chrono::milliseconds(100),
                                       std::chrono::milliseconds(1300)};
-  /// Quarantined requests that still come are told again and again, for nodes that have started or
-  /// were cut off: so many, in turn, each time.
+  /// Quarantined requests that callers still send are reported periodically, for nodes that have
+  /// started or were partitioned: at this interval, up to `max_refresh_reports` in turn.
   Duration refresh_interval{std::chrono::seconds(5)};
   std::size_t max_refresh_reports = 8;
-  /// Not told any more once nobody has sent the request for this long.
+  /// A request is no longer refreshed when no caller has sent it for this long.
   Duration refresh_lifetime{std::chrono::seconds(60)};
 };
 
-/// One loop.
+/// Broadcasts changes of the ledger in batches, resends them against packet loss and refreshes
+/// quarantined requests periodically. Not thread-safe; used on one event loop.
 class CrashAnnouncer {
  public:
   using Send = std::function<void(const CrashReportBatch&)>;
@@ -38,13 +39,13 @@
   CrashAnnouncer(const Clock& clock, TimerService& timers, const CrashLedger& ledger,
                  CrashAnnouncerOptions options, Send send);
 
-  /// Something has changed that this node is to tell.
+  /// Schedules a report on the request, whose ledger entry has changed.
   void note_change(const gateway::RequestFingerprint& request);
-  /// All that is held against any request, for a node that has started.
+  /// Sends reports on all suspected and quarantined requests, for a node that has just started.
   void send_all(const Send& send) const;
 
  private:
-  /// Of a change that is to be told again.
+  /// A change that is to be sent again.
   struct Resend {
     MonotonicTime due{};
     std::size_t resent = 0;
@@ -64,7 +65,7 @@
   std::set<gateway::RequestFingerprint> due_;
   std::map<gateway::RequestFingerprint, Resend> resends_;
   std::set<gateway::RequestFingerprint> refreshed_;
-  gateway::RequestFingerprint last_refreshed_;  ///< The turn goes on behind it.
+  gateway::RequestFingerprint last_refreshed_;  ///< The next refresh starts after this request.
   Timer batch_timer_;
   Timer resend_timer_;
   Timer refresh_timer_;
--- a/src/quarantine/crash_ledger.cc
+++ b/src/quarantine/crash_ledger.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// BackendIds kept of one request: more tell nothing.
+/// Terminations kept for each request; more would not change any decision.
 constexpr std::size_t kMaxTerminations = 16;
 
 }  // namespace
@@ -195,7 +195,7 @@
                                                    MonotonicTime now) const {
   const Entry* entry = find(request);
   if (entry == nullptr) {
-    // Not told by anybody yet: this node has just seen the last termination.
+    // No termination is in the ledger yet: this node is still investigating the last one.
     return options_.trial_delays.front();
   }
   if (entry->trials >= max_trials(*entry)) {
@@ -283,7 +283,8 @@
   entries_.erase(entry);
 }
 
-/// Of a crowd that was suspects others' terminations, the oldest goes.
+/// Evicts the request with the fewest counted terminations, and of several the least recently
+/// active.
 void CrashLedger::evict_if_full() {
   if (entries_.size() < options_.max_requests) {
     return;
--- a/src/quarantine/crash_ledger.h
+++ b/src/quarantine/crash_ledger.h
@@ -1,4 +1,4 @@
-// Which requests had backends when these ended, and what follows from it.
+// Records during which requests back ends terminated, and derives which requests are quarantined.
 #pragma once
 
 #include <chrono>
@@ -16,40 +16,45 @@
 
 namespace ochrespring::quarantine {
 
-/// When a request is kept from backends, and when it is tried again. Trials and terminations
-/// together bound the sends after the third termination: with 3 trials no more than 3 of them,
-/// whatever time passes.
+/// Thresholds and timing of quarantine. Trials and terminations together bound the sends after the
+/// third termination: with 3 trials there are at most 3, however much time passes.
 struct CrashLedgerOptions {
-  /// BackendIds that termination under a request before it is quarantined.
+  /// Number of back ends that terminate during a request before it is quarantined.
   std::size_t quarantine_threshold = 3;
-  /// From the last termination or trial to the next trial, each of them once. The first is short
-  /// for requests that came to be quarantined by chance; the last waits for backends that were
-  /// mended.
+  /// Delay from the last termination or trial to the next trial, each used once. The first is short
+  /// for requests that were quarantined by coincidence; the last allows time for the back ends to
+  /// be fixed.
   std::vector<Duration> trial_delays{std::chrono::seconds(10), std::chrono::seconds(60),
                                      std::chrono::minutes(10)};
-  /// PendingReport to callers once no trial is left.
+  /// Retry-After sent to callers when no trial is left.
   Duration max_retry_after{std::chrono::minutes(10)};
-  /// A quarantined request that nobody has sent for this long is forgotten.
+  /// A quarantined request is dropped when no caller has sent it for this long.
   Duration quarantine_ttl{std::chrono::minutes(30)};
-  /// So is, after its last termination, one that is only suspected or was answered.
+  /// A request that is only suspected, or was answered, is dropped this long after its last
+  /// termination.
   Duration suspicion_ttl{std::chrono::minutes(10)};
-  /// Some 300 bytes each. Of more, those with the fewest terminations go first.
+  /// Each takes about 300 bytes. When the ledger is full, the requests with the fewest terminations
+  /// are evicted first.
   std::size_t max_requests = 2048;
 };
 
-/// Stands for terminations that nobody remembers, of backends that nobody can name: no backend has
-/// this id.
+/// Placeholder for terminations that may have happened before this node's history begins. No back
+/// end has this id.
 inline const gateway::BackendId kUnknownBackend{"(forgotten)"};
 
-/// How a request stands.
+/// How strongly a request is suspected of crashing back ends.
 enum class SuspicionLevel : std::uint8_t { kNone, kSuspected, kQuarantined };
 
-/// Each backend's termination counts against all requests that it had, until they are answered:
-/// which of them ended it nobody can tell, but one that is innocent is soon answered elsewhere. Not
-/// to count terminations that a request with more of them explains was measured and dropped: of
-/// three guilty requests at once one covered the other, and up to 23 sends followed the third
-/// termination in place of 1, while no innocent request was spared (tests/crashing_request_test.cc,
-/// 10 seeds). Pure; one loop.
+/// Each termination of a back end counts against all requests that were running there, until they
+/// are answered. Which of them caused it is unknown, but an innocent request is soon answered by
+/// another back end.
+///
+/// Terminations are also counted where another request with more terminations would explain them.
+/// Leaving those out let one of three crashing requests hide another: up to 23 sends followed the
+/// third termination instead of 1, and no innocent request was spared (10 seeds of
+/// gateway_node/tests/crashing_request_test.cc).
+///
+/// Performs no I/O. Not thread-safe.
 class CrashLedger {
  public:
   using Request = gateway::RequestFingerprint;
@@ -57,49 +62,50 @@
 
   explicit CrashLedger(CrashLedgerOptions options = {}) : options_(std::move(options)) {}
 
-  /// Nothing is held against any request.
+  /// Returns whether the ledger has no entry.
   bool empty() const { return entries_.empty(); }
   bool contains(const Request& request) const { return entries_.contains(request); }
   std::size_t count(SuspicionLevel level) const;
-  /// Requests of a suspicion_level.
+  /// Returns the requests at the given level.
   std::vector<Request> requests(SuspicionLevel level) const;
 
-  /// These return whether anything is known that was not before.
+  /// The following three return whether the ledger has changed in a way that other nodes should
+  /// receive.
   bool note_termination(const Request& request, const ServiceName& service,
                         const BackendTermination& termination, MonotonicTime now);
   bool merge(const CrashReport& report, MonotonicTime now);
-  /// The request was answered, or has been released.
+  /// Excuses all terminations of the request, because it was answered.
   bool excuse(const Request& request);
   void note_request(const Request& request, MonotonicTime now);
   void note_trial(const Request& request, std::uint32_t trials, MonotonicTime now);
   void note_stored(const Request& request, bool stored);
-  /// None is known to be stored any more; returns those that were.
+  /// Marks all requests as not stored; returns those that were marked as stored.
   std::vector<Request> clear_stored();
-  /// Requests whose counted terminations include a backend that ended before `started`; a backend
-  /// that has answered an attempt started then lives.
+  /// Returns the requests that have a counted termination of `backend` before `started`. A back end
+  /// that answers an attempt started then has not terminated.
   std::vector<Request> suspects_for(const gateway::BackendId& backend, MonotonicTime started) const;
-  /// That backend's termination counts against nobody.
+  /// Excuses the termination of `backend` for all requests.
   void excuse_backend(const gateway::BackendId& backend);
 
-  /// BackendIds that count against the request.
+  /// Returns the number of terminations that count against the request.
   std::size_t counted_terminations(const Request& request) const;
-  /// Whether so many count that one more termination brings it into quarantine, or that it is
-  /// there.
+  /// Returns whether the request is quarantined or one termination away from it.
   bool should_store(const Request& request) const {
     return counted_terminations(request) + 1 >= options_.quarantine_threshold;
   }
-  /// `additional` are backends that may have ended under the request, as far as this node sees.
+  /// `additional` are back ends that may have terminated during the request but are not in the
+  /// ledger yet.
   SuspicionLevel suspicion_level(const Request& request, const BackendIds& additional = {}) const;
-  /// Until the next trial, zero if one is due; none: no trial is left. Where terminations may have
-  /// been forgotten, each that was counted may have come after the third: fewer trials are left,
-  /// one at least.
+  /// Returns the time until the next trial, zero if one is due, or none if no trial is left. If
+  /// earlier terminations may be missing, each counted one may have followed the third: then fewer
+  /// trials are left, but at least one.
   std::optional<Duration> time_to_trial(const Request& request, MonotonicTime now) const;
   Duration retry_after(const Request& request, MonotonicTime now) const;
   bool stored(const Request& request) const;
   std::uint32_t trials(const Request& request) const;
   std::optional<CrashReport> report(const Request& request, MonotonicTime now) const;
 
-  /// Forgets what is too old; returns what the store may still have of it.
+  /// Drops expired requests; returns those that the store may still hold.
   std::vector<Request> drop_expired(MonotonicTime now);
 
  private:
@@ -118,7 +124,7 @@
 
     std::size_t counted_terminations() const;
     MonotonicTime last_termination_at() const;
-    /// Ends may have been forgotten.
+    /// Returns whether earlier terminations may be missing.
     bool has_unknown_termination() const;
   };
 
--- a/src/quarantine/ledger_horizon.h
+++ b/src/quarantine/ledger_horizon.h
@@ -1,4 +1,4 @@
-// Since when a node's knowledge of backends' terminations has been complete.
+// How far back a node's record of back end terminations is complete.
 #pragma once
 
 #include <algorithm>
@@ -11,30 +11,31 @@
 
 namespace ochrespring::quarantine {
 
-/// A node that has just started knows of no termination that came before, and cannot tell a request
-/// that is new from one that has ended backends already. The horizon says how far back its ledger
-/// reaches; nodes hand it on, so that a node that starts beside others reaches as far back as they
-/// do. If all nodes were killed nobody's reaches back to before, until a request that was held
-/// against anybody then would have been forgotten anyway.
+/// Tracks since when a node's ledger has been complete.
 ///
-/// Pure; one loop.
+/// A node that has just started has no record of earlier terminations, so it cannot tell a new
+/// request from one that has already crashed back ends. Nodes send their horizon to each other, so
+/// a node that joins a running fleet takes over the fleet's horizon. If all nodes were killed, no
+/// node has a complete ledger until every suspicion from before would have expired anyway.
+///
+/// Performs no I/O. Not thread-safe.
 class LedgerHorizon {
  public:
-  /// The ledger is complete once it reaches back by `required_age`.
+  /// The ledger counts as complete once it reaches back by `required_age`.
   LedgerHorizon(MonotonicTime started, Duration required_age)
       : complete_since_(started), required_age_(required_age) {}
 
   bool is_complete(MonotonicTime now) const { return now - complete_since_ >= required_age_; }
-  /// There was nothing to know before.
+  /// Marks the ledger as complete, because there is no earlier history.
   void mark_complete(MonotonicTime now) {
     complete_since_ = std::min(complete_since_, now - required_age_);
   }
-  /// What another node has told of its own ledger. It holds for this node once
-  /// apply_pending_report() finds that what the other knew is here, too: the reports may come
-  /// later, or be lost.
+  /// Receives the horizon of another node. It takes effect only when apply_pending_report() finds
+  /// that the ledger holds as many requests as the sender's, because the sender's crash reports may
+  /// arrive later or be lost.
   void receive(const HorizonReport& report, MonotonicTime now);
   bool has_pending_report() const { return pending_.has_value(); }
-  /// `suspect_count`: requests that this node holds anything against.
+  /// `suspect_count` is the number of suspected and quarantined requests in this node's ledger.
   void apply_pending_report(std::size_t suspect_count);
   HorizonReport report(std::size_t suspect_count, MonotonicTime now) const;
 
@@ -46,7 +47,7 @@
 
   MonotonicTime complete_since_;
   Duration required_age_;
-  /// Not settled yet: the newest that reaches far enough, or the farthest.
+  /// The newest report that covers `required_age_`, or else the one that reaches farthest back.
   std::optional<PendingReport> pending_;
 };
 
--- a/src/quarantine/quarantine.cc
+++ b/src/quarantine/quarantine.cc
@@ -16,29 +16,30 @@
 using std::chrono::seconds;
 
 constexpr std::string_view kComponent = "quarantine";
-/// Between two claims of one request's trial by one node, should the first not be granted.
+/// Minimum interval between claims of one request's trial by the same node.
 constexpr Duration kClaimInterval = seconds(1);
-/// Between two tries to write to the store; nodes come apart by up to as much again.
+/// Delay between attempts to write to the store; jittered by up to the same amount, to spread the
+/// writes of different nodes.
 constexpr Duration kSaveRetryDelay = milliseconds(1000);
-/// Requests that lack one termination are written, too, lest a fleet that is killed as a whole
-/// forgets them: of 120 fleets of 6 nodes under random faults 2 sent one 5 and 8 times after its
-/// third termination without it, none more than 3 times with it. The pause spares the store most of
-/// the innocent ones, which are answered elsewhere meanwhile.
+/// Requests that are one termination short of quarantine are stored as well, so that a fleet that
+/// is killed as a whole does not forget them. Without this, 2 of 120 simulated fleets of 6 nodes
+/// under random faults sent a request 5 and 8 times after its third termination; with it, none sent
+/// one more than 3 times. The delay keeps most innocent requests out of the store, because other
+/// back ends answer them in the meantime.
 constexpr Duration kSuspectSaveDelay = milliseconds(150);
-/// Nodes that did not see an termination themselves leave the writing to those that did for this
-/// long.
+/// Nodes that did not observe a termination wait this long for the observing nodes to write it.
 constexpr Duration kNonObserverSaveDelay = seconds(3);
-/// Requests written to the store at a time.
+/// Maximum number of requests written to the store in one batch.
 constexpr std::size_t kMaxSavesPerBatch = 8;
-/// Nodes of a fleet that write what all of them might, on average. What is too old and left in the
-/// store by all is learnt anew by the next node that starts, and forgotten later.
+/// Expected number of nodes that make a write that any node could make. If no node removes an
+/// expired request from the store, the next node that starts loads it and expires it later.
 constexpr double kExpectedWriters = 3;
-/// A backend registers when it starts, and the latest with its next heartbeat (1.2 s as deployed):
-/// a view that is current by then shows its new life.
+/// A back end registers when it starts, and at the latest with its next heartbeat (every 1.2 s as
+/// deployed). A fleet view polled after this time shows its new incarnation.
 constexpr Duration kRegistrationDelay = milliseconds(1500);
-/// Between two looks at whether a view shows that yet.
+/// Interval at which pending excuses are checked against the fleet view.
 constexpr Duration kExcuseCheckInterval = milliseconds(500);
-/// Between two looks for what is too old.
+/// Interval at which expired requests are dropped.
 constexpr Duration kSweepInterval = seconds(5);
 
 }  // namespace
@@ -110,7 +111,7 @@
   store_.claim_trial(
       *report, [this, request, done = std::move(done)](const QuarantineStore::TrialClaim& claim) {
         ledger_.note_trial(request, claim.trials, dependencies_.clock.now());
-        log(claim.granted ? "quarantined request is tried again" : "trial not granted", request);
+        log(claim.granted ? "quarantine trial started" : "quarantine trial not granted", request);
         if (claim.granted) {
           ++counts_.trials;
           ledger_.note_stored(request, true);
@@ -121,7 +122,7 @@
 }
 
 void Quarantine::note_break(const gateway::BrokenAttempt& attempt) {
-  // Callers that leave are many: only of a suspect is it worth a connection to learn more.
+  // Callers disconnect often, so a probe is only worthwhile if the request is already suspected.
   if (attempt.kind != gateway::BreakKind::kAbandoned || ledger_.contains(attempt.request)) {
     detector_.note_failed_attempt(attempt);
   }
@@ -134,7 +135,7 @@
   dependencies_.logger.write(
       {logging::Level::kWarning,
        kComponent,
-       "server ended under requests",
+       "back end terminated while processing requests",
        {{"backend", backend.value()}, {"requests", static_cast<std::uint64_t>(attempts.size())}}});
   for (const gateway::BrokenAttempt& attempt : attempts) {
     const BackendTermination termination{.backend = backend, .observer = options_.node};
@@ -153,16 +154,16 @@
   }
 }
 
-/// The termination that was seen may be the third and be taken for the first. One termination
-/// counts as known to have been before, until the request is answered.
+/// The observed termination may be the third of the request although it is the first in the ledger.
+/// One unknown termination is counted in addition, until the request is answered.
 void Quarantine::note_unknown_termination(const gateway::BrokenAttempt& attempt) {
   const BackendTermination termination{.backend = kUnknownBackend, .observer = options_.node};
   ledger_.note_termination(attempt.request, attempt.service, termination,
                            dependencies_.clock.now());
 }
 
-/// What has been answered does not termination its backend. And a backend that answers an attempt
-/// begun after its termination has not ended: a way to it was cut.
+/// An answered request does not crash its back end. A back end that answers an attempt begun after
+/// its recorded termination has not terminated: only the connection to it was interrupted.
 void Quarantine::note_answer(const gateway::AnsweredAttempt& attempt) {
   if (ledger_.excuse(attempt.request)) {
     announcer_.note_change(attempt.request);
@@ -191,9 +192,9 @@
   }
 }
 
-/// A backend that started again under its name answers to the name before the view shows its new
-/// life. Taken for the one that had terminated, it cleared the request under which it had: that
-/// reached six backends more.
+/// A back end that restarted under the same name may answer before the fleet view shows its new
+/// incarnation. Excusing it at once would clear the request that had terminated the earlier
+/// incarnation; in one case, that request then reached six more back ends.
 void Quarantine::excuse_after_view_update(const gateway::BackendId& backend,
                                           MonotonicTime started) {
   pending_excuses_.try_emplace(
@@ -258,7 +259,7 @@
   return ledger_.count(SuspicionLevel::kSuspected) + ledger_.count(SuspicionLevel::kQuarantined);
 }
 
-/// Where the fleet has never run nothing was forgotten.
+/// If the fleet has never run, no earlier terminations can be missing.
 void Quarantine::on_first_listing() {
   if (!fleet_marker_found_) {
     horizon_.mark_complete(dependencies_.clock.now());
@@ -303,7 +304,8 @@
   }
 }
 
-/// Every node knows what is stored, so any may have to write it; most find that another has.
+/// Every node knows which requests are stored, so each schedules the write; most find that another
+/// node has already made it.
 void Quarantine::on_store_rolled_back() {
   fleet_marker_due_ = fleet_marker_due_ || is_selected_writer();
   for (const Request& request : ledger_.clear_stored()) {
@@ -339,14 +341,14 @@
     store_.add(*report, [this, request](bool stored) {
       save_failed_ = !stored;
       if (!stored) {
-        log("request not stored", request);
+        log("failed to store quarantined request", request);
         save_later(request, kSaveRetryDelay);
         return;
       }
       ledger_.note_stored(request, true);
       announcer_.note_change(request);
       if (!ledger_.should_store(request)) {
-        // Answered while it was being written.
+        // The request was answered while it was being written.
         remove_stored(request);
       }
     });
@@ -366,11 +368,11 @@
   if (!report) {
     dependencies_.logger.write({logging::Level::kError,
                                 kComponent,
-                                "value of the store not understood",
+                                "cannot decode value in the shared store",
                                 {{"key", key}, {"reason", report.error().message}}});
     return;
   }
-  // How long ago it was written is not known. Half of its life is left to it at most.
+  // The time of the write is unknown, so the request is kept for at most half of its TTL.
   report.value().last_request_age =
       std::max(report.value().last_request_age, options_.ledger.quarantine_ttl / 2);
   merge({{report.value()}});
@@ -383,7 +385,7 @@
 
 void Quarantine::sweep() {
   const MonotonicTime now = dependencies_.clock.now();
-  // All nodes forget it at about the same time: some of them are enough.
+  // All nodes expire the request at about the same time; a few of them remove it from the store.
   for (const Request& request : ledger_.drop_expired(now)) {
     if (is_selected_writer()) {
       store_.remove(request);
@@ -421,22 +423,26 @@
 }
 
 void Quarantine::add_metrics(metrics::SampleSink& sink) const {
-  sink.gauge({"quarantined_requests", "Requests kept from backends"},
+  sink.gauge({"quarantined_requests", "Requests in quarantine"},
              static_cast<double>(quarantined_.size()));
-  sink.gauge({"suspected_requests", "Requests that had a backend when it ended"},
-             static_cast<double>(ledger_.count(SuspicionLevel::kSuspected)));
-  sink.gauge({"crash_ledger_incomplete",
-              "Whether terminations of backends may have been forgotten, as all nodes were killed"},
-             history_incomplete() ? 1 : 0);
-  sink.counter({"server_ends_seen", "BackendIds that ended while they had requests of this node"},
-               static_cast<double>(counts_.terminations_seen));
-  sink.counter({"server_end_probes", "Connections opened to learn whether a backend has ended"},
-               static_cast<double>(detector_.probes()));
-  sink.counter({"quarantine_refusals", "Sends of quarantined requests refused"},
+  sink.gauge(
+      {"suspected_requests", "Requests during which a back end terminated, not in quarantine"},
+      static_cast<double>(ledger_.count(SuspicionLevel::kSuspected)));
+  sink.gauge(
+      {"crash_ledger_incomplete",
+       "1 if earlier terminations of back ends may be missing, as after all nodes were killed"},
+      history_incomplete() ? 1 : 0);
+  sink.counter(
+      {"server_ends_seen", "Back ends that terminated while processing requests of this node"},
+      static_cast<double>(counts_.terminations_seen));
+  sink.counter(
+      {"server_end_probes", "Connections opened to check whether a back end has terminated"},
+      static_cast<double>(detector_.probes()));
+  sink.counter({"quarantine_refusals", "Sends refused because the request was quarantined"},
                static_cast<double>(counts_.refusals));
-  sink.counter({"quarantine_trials", "Quarantined requests tried again by this node"},
+  sink.counter({"quarantine_trials", "Trials of quarantined requests by this node"},
                static_cast<double>(counts_.trials));
-  sink.counter({"quarantine_entered", "Requests that came to be quarantined"},
+  sink.counter({"quarantine_entered", "Requests that entered quarantine"},
                static_cast<double>(counts_.quarantined));
   sink.counter({"quarantine_released", "Requests that left quarantine"},
                static_cast<double>(counts_.released));
--- a/src/quarantine/quarantine.h
+++ b/src/quarantine/quarantine.h
@@ -1,4 +1,4 @@
-// One node's part in keeping requests that termination their backends away from further backends.
+// Keeps requests that crash back ends away from further back ends.
 #pragma once
 
 #include <chrono>
@@ -27,24 +27,27 @@
 namespace ochrespring::quarantine {
 
 struct QuarantineOptions {
-  std::string key_prefix;  ///< Of the store.
+  std::string key_prefix;  ///< Of the keys in the shared store.
   NodeId node;
   CrashLedgerOptions ledger{};
-  /// How long a relay gathers what it tells the nodes of its zone.
+  /// Period within which a relay batches the reports for the nodes of its zone.
   Duration relay_batch_window{std::chrono::milliseconds(10)};
 };
 
-/// Guards a fleet against a request that terminations each backend that begins to run it: without
-/// it 41 backends ended in 30 s of a fleet of 6 nodes and 5 engines under virtual time, and 0.46 of
-/// the other requests were served (tests/crashing_request_test.cc has the figures with it).
+/// Protects the fleet from requests that crash each back end that starts to run them.
 ///
-/// Nodes tell each other at once of each backend that ended, and of whose request it had; they
-/// count the same, whichever of them saw which termination. What is quarantined is in the store,
-/// too. A request that is answered is held against nobody. Does no input or output itself. One
-/// loop.
+/// Without it, such a request terminated 41 back ends in 30 s in a simulated fleet of 6 nodes and 5
+/// engines, and only 46 % of the other requests were answered
+/// (gateway_node/tests/crashing_request_test.cc checks the same case with it).
+///
+/// Nodes broadcast each termination at once together with the requests that were running, so all
+/// nodes count the same terminations whichever of them observed them. Quarantined requests are also
+/// kept in the shared store. A request that is answered is no longer suspected.
+///
+/// Performs no I/O itself. Not thread-safe; used on one event loop.
 class Quarantine final : public gateway::RequestGuard {
  public:
-  /// References outlive it.
+  /// The referenced objects must outlive the Quarantine.
   struct Dependencies {
     const Clock& clock;
     TimerService& timers;
@@ -55,10 +58,10 @@
   };
   struct Callbacks {
     TerminationDetector::Probe probe;
-    CrashAnnouncer::Send broadcast;          ///< All other nodes, or relays of all zones.
-    CrashAnnouncer::Send broadcast_to_zone;  ///< As a relay: the nodes of the zone.
-    std::function<void()> request_horizon;   ///< Of some other node, if any is known.
-    /// Nodes believed to take part, this one included; at least 1.
+    CrashAnnouncer::Send broadcast;          ///< To all other nodes, or to the relays of all zones.
+    CrashAnnouncer::Send broadcast_to_zone;  ///< As a relay, to the nodes of the zone.
+    std::function<void()> request_horizon;   ///< Sends a HorizonRequest to another node, if any.
+    /// Number of nodes that are believed to be running, including this one; at least 1.
     std::function<std::uint32_t()> node_count;
   };
 
@@ -73,32 +76,33 @@
   void note_answer(const gateway::AnsweredAttempt& attempt) override;
 
   void start();
-  /// Another node's news; as a relay, to be passed on.
+  /// Receives reports from another node.
   void receive(const CrashReportBatch& batch);
+  /// As receive(), and passes the reports on to the nodes of the zone as their relay.
   void receive_for_relay(const CrashReportBatch& batch);
-  /// A key of the store as it is since some change.
+  /// Applies the current value of a key in the store, or its removal.
   void apply_store_change(const std::string& key, const std::optional<std::string>& value);
-  /// This node has listed the store, as its first view of the fleet. After all keys of the listing
-  /// were handed to apply_store_change().
+  /// Called after this node's first full listing of the store, when all of its keys have been
+  /// passed to apply_store_change().
   void on_first_listing();
-  /// The store may have lost what was written there: it is written again.
+  /// Called when the store may have lost writes; schedules all stored requests to be written again.
   void on_store_rolled_back();
-  /// The store answers, this node or another: what could not be written is tried at once, since it
-  /// is lost if all nodes are killed before.
+  /// Called when the store answers this or another node. Retries failed writes at once, because
+  /// they would be lost if all nodes were killed first.
   void on_store_available();
-  /// How far back another node's ledger reaches.
+  /// Receives how far back another node's ledger is complete.
   void receive(const HorizonReport& report);
   HorizonReport horizon() const {
     return horizon_.report(suspect_count(), dependencies_.clock.now());
   }
-  /// A backend's entry has gone from the view.
+  /// The back end's entry was removed from the fleet view.
   void note_backend_removed(const gateway::Backend& backend) {
     pending_excuses_.erase(backend.id);
     detector_.note_backend_removed(backend);
   }
-  /// For a node that has started.
+  /// Sends all crash reports, for a node that has just started.
   void send_all(const CrashAnnouncer::Send& send) const { announcer_.send_all(send); }
-  /// Called when a request has come to be quarantined.
+  /// Sets the callback for requests that become quarantined.
   void on_quarantined(std::function<void(const gateway::RequestFingerprint&)> callback) {
     quarantined_callback_ = std::move(callback);
   }
@@ -111,25 +115,26 @@
   void handle_termination(const gateway::BackendId& backend,
                           const std::vector<gateway::BrokenAttempt>& attempts);
   void merge(const CrashReportBatch& batch);
-  /// Whether terminations may have been forgotten that count against requests of now.
+  /// Returns whether terminations that still count may be missing from the ledger.
   bool history_incomplete() const { return !horizon_.is_complete(dependencies_.clock.now()); }
   void note_unknown_termination(const gateway::BrokenAttempt& attempt);
-  /// Requests that anything is held against.
+  /// Returns the number of suspected and quarantined requests.
   std::size_t suspect_count() const;
   void apply_pending_horizon();
   void write_fleet_marker();
-  /// Whether this node is among the few that write what all of them might.
+  /// Selects, at random, a few nodes to make a write that any node could make.
   bool is_selected_writer();
-  /// A backend that answers an attempt begun at `started` has not ended before: a way to it was
-  /// cut.
+  /// Excuses the termination of a back end that answered an attempt begun at `started`: it is still
+  /// running, and only the connection to it was interrupted.
   void excuse_backend(const gateway::BackendId& backend, MonotonicTime started);
-  /// As excuse_backend(), unless it turns out to be another life of the backend that answered.
+  /// As excuse_backend(), but waits until the fleet view shows whether another incarnation of the
+  /// back end has answered.
   void excuse_after_view_update(const gateway::BackendId& backend, MonotonicTime started);
   void process_pending_excuses();
-  /// What is known of a request has changed.
+  /// Quarantines or releases the request after its ledger entry has changed.
   void update_quarantine(const Request& request);
   void release(const Request& request);
-  /// The store is to forget what it has of the request.
+  /// Removes the request from the store.
   void remove_stored(const Request& request);
   void save_later(const Request& request, Duration delay);
   void save();
@@ -147,15 +152,14 @@
   CrashAnnouncer relay_;
   QuarantineStore store_;
   std::set<Request> quarantined_;
-  std::map<Request, MonotonicTime> claimed_at_;  ///< Last claims of trials, of this node.
+  std::map<Request, MonotonicTime> claimed_at_;  ///< This node's last trial claims.
   std::set<Request> unsaved_;
-  bool save_failed_ = false;         ///< The last call that wrote a request.
-  bool fleet_marker_found_ = false;  ///< The store says that the fleet has run before.
-  bool fleet_marker_due_ = false;    ///< This node is to write that there.
-  /// BackendIds that have answered although they were seen to termination, and the newest such
-  /// attempt.
+  bool save_failed_ = false;         ///< The last write of a request failed.
+  bool fleet_marker_found_ = false;  ///< The store holds the fleet marker.
+  bool fleet_marker_due_ = false;    ///< This node must write the fleet marker.
+  /// A back end that has answered although it was recorded as terminated.
   struct PendingExcuse {
-    MonotonicTime started{};
+    MonotonicTime started{};  ///< Start of the attempt that was answered.
     MonotonicTime answered{};
   };
   std::map<gateway::BackendId, PendingExcuse> pending_excuses_;
--- a/src/quarantine/quarantine_store.cc
+++ b/src/quarantine/quarantine_store.cc
@@ -29,7 +29,7 @@
 }
 
 void QuarantineStore::remove(const gateway::RequestFingerprint& request) {
-  // Should it fail, the request is held back by nodes that start until a trial is served.
+  // If this fails, nodes that start later quarantine the request until a trial is answered.
   store_.commit({.conditions = {}, .writes = {}, .removals = {key_of(request)}},
                 [](const auto&) {});
 }
@@ -63,8 +63,8 @@
                  .writes = {{key, wire::encode(report), std::nullopt}},
                  .removals = {}},
                 [trials = report.trials, done = std::move(done)](const auto& result) {
-                  // Without an answer it may have been counted, after a conflict somebody else's
-                  // was: nobody sends then.
+                  // Without an answer this trial may have been counted; after a conflict another
+                  // node's was. In both cases no node may send.
                   const bool counted = result || result.error().code == StoreErrc::kUnknownEffect ||
                                        result.error().code == StoreErrc::kConflict;
                   done({.granted = result.has_value(), .trials = counted ? trials : trials - 1});
--- a/src/quarantine/quarantine_store.h
+++ b/src/quarantine/quarantine_store.h
@@ -1,5 +1,4 @@
-// Quarantined requests in the store: there they outlast all nodes, and there the fleet agrees who
-// tries one again. And whether the fleet has run before: a node that starts alone cannot tell.
+// Quarantined requests in the shared store.
 #pragma once
 
 #include <functional>
@@ -13,28 +12,33 @@
 
 namespace ochrespring::quarantine {
 
-/// One key a request. Stateless; one loop.
+/// Stores quarantined requests, one key for each.
+///
+/// The store preserves them when all nodes stop, and is where the fleet agrees which node may try a
+/// request again. A marker key records that the fleet has run before, which a node that starts
+/// alone cannot know. Stateless; used on one event loop.
 class QuarantineStore {
  public:
   QuarantineStore(shared_store::SharedStore& store, std::string key_prefix)
       : store_(store), key_prefix_(std::move(key_prefix)) {}
 
-  /// Whether a key is one of these.
+  /// Returns whether `key` is the key of a quarantined request.
   bool owns(std::string_view key) const { return key.starts_with(key_prefix_); }
-  /// Whether a key says that the fleet has run before.
+  /// Returns whether `key` is the marker that the fleet has run before.
   bool is_fleet_marker(std::string_view key) const { return key == fleet_marker(); }
-  /// Writes that key unless it is there.
+  /// Writes the marker unless it exists; `marked` is whether it exists now.
   void write_fleet_marker(std::function<void(bool marked)> done);
-  /// Writes a request that the store does not have; true also if it turns out to have it.
+  /// Writes a request unless the store holds it; `stored` is whether the store holds it now.
   void add(CrashReport report, std::function<void(bool stored)> done);
   void remove(const gateway::RequestFingerprint& request);
 
   struct TrialClaim {
     bool granted = false;
-    std::uint32_t trials = 0;  ///< With this one, or as many as others have made.
+    std::uint32_t trials = 0;  ///< Known number of trials, including this one if granted.
   };
-  /// Counts one more trial if the store knows of no more than `report` does: of all nodes that ask
-  /// at once, one is granted it. Not granted without the store.
+  /// Counts one more trial, unless the store has counted more trials than `report`. If several
+  /// nodes claim at the same time, one is granted the trial. Not granted if the store is
+  /// unavailable.
   void claim_trial(const CrashReport& report, std::function<void(TrialClaim)> done);
 
  private:
@@ -44,7 +48,7 @@
     return key_prefix_ + request.to_hex();
   }
 
-  /// Beside the requests' keys, not among them.
+  /// The key prefix without its final part: outside of the range of the requests' keys.
   std::string_view fleet_marker() const {
     return std::string_view(key_prefix_).substr(0, key_prefix_.find('/'));
   }
--- a/src/quarantine/termination_detector.cc
+++ b/src/quarantine/termination_detector.cc
@@ -11,15 +11,15 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// From a break to the probe: a process that terminations closes its connections and its listener
-/// one after the other.
+/// Delay from a broken connection to the probe: a terminating process closes its connections and
+/// its listener one after the other.
 constexpr Duration kProbeDelay = milliseconds(30);
-/// How long a case without an answer waits for the view: three heartbeats and a look.
+/// Time for which an unanswered probe waits for the fleet view: three heartbeats and a poll.
 constexpr Duration kInvestigationTimeout = seconds(10);
-/// A backend that accepted a probe this lately is not probed for silence: under load many requests
-/// termination at their deadlines.
+/// After an accepted probe, unresponsive attempts don't cause another one for this long: under load
+/// many requests reach their deadlines.
 constexpr Duration kProbeSuppression = seconds(1);
-/// Requests kept of one backend's termination.
+/// Attempts kept for each investigation.
 constexpr std::size_t kMaxAttempts = 512;
 
 }  // namespace
@@ -36,7 +36,7 @@
 void TerminationDetector::note_failed_attempt(const gateway::BrokenAttempt& attempt) {
   const auto known = terminated_at_.find(attempt.backend);
   if (known != terminated_at_.end()) {
-    // An attempt of later met a connection of before the termination.
+    // Attempts started after the termination failed on connections from before it.
     if (attempt.started < known->second) {
       on_terminated_(attempt.backend, {attempt});
     }
--- a/src/quarantine/termination_detector.h
+++ b/src/quarantine/termination_detector.h
@@ -1,4 +1,4 @@
-// Tells the termination of a backend from a connection that broke for another reason.
+// Distinguishes the termination of a back end from connections that broke for other reasons.
 #pragma once
 
 #include <cstddef>
@@ -16,41 +16,46 @@
 
 namespace ochrespring::quarantine {
 
-/// When a connection to a backend breaks, all requests that this node had there are suspects. A
-/// connection that is opened a moment later decides: if nothing listens, the backend has ended; if
-/// it is accepted, the backend lives, and the connection was reset, lost on the way or given up
-/// after a pause of this node. Without an answer the view decides: the backend's entry goes some
-/// heartbeats after its termination. A backend that had said that it leaves terminations as
-/// planned. One loop.
+/// Decides whether a back end has terminated when a connection to it breaks.
+///
+/// All requests that this node had at the back end become suspects. A probe connection opened
+/// shortly afterwards decides: if it is refused, the back end has terminated; if it is accepted,
+/// the back end is running, and the connection was reset, lost in the network or timed out after
+/// this node was suspended. If the probe is not answered, the fleet view decides: the entry of a
+/// terminated back end is removed after a few missed heartbeats. A back end that has announced that
+/// it is leaving terminates as planned and is not reported.
+///
+/// Not thread-safe; used on one event loop.
 class TerminationDetector {
  public:
   using Probe =
       std::function<void(const Endpoint& address, std::function<void(http::ProbeResult)> done)>;
-  /// A backend has ended while it had these requests of this node.
+  /// Called when a back end has terminated during these requests of this node.
   using OnTerminated = std::function<void(const gateway::BackendId& backend,
                                           const std::vector<gateway::BrokenAttempt>& attempts)>;
 
-  /// References outlive it.
+  /// The referenced objects must outlive this one.
   TerminationDetector(const Clock& clock, TimerService& timers, const gateway::FleetState& fleet,
                       Probe probe, OnTerminated on_terminated);
 
   void note_failed_attempt(const gateway::BrokenAttempt& attempt);
-  /// The backend's entry has gone from the view.
+  /// The back end's entry was removed from the fleet view.
   void note_backend_removed(const gateway::Backend& backend);
-  /// BackendIds that may have ended under the request: its connections were closed, and it is not
-  /// yet known why.
+  /// Returns the back ends that may have terminated during the request: they closed its connections
+  /// and are still under investigation.
   CrashLedger::BackendIds suspected_terminations(const gateway::RequestFingerprint& request) const;
   bool idle() const { return investigations_.empty(); }
+  /// Number of probe connections opened so far.
   std::uint64_t probes() const { return probes_; }
 
  private:
-  /// A backend whose connections broke.
+  /// A back end whose connections broke, until it is known why.
   struct Investigation {
     explicit Investigation(TimerService& timers) : timer(timers) {}
 
     Endpoint address;
     std::vector<gateway::BrokenAttempt> attempts;
-    Timer timer;  ///< Until the probe, then until the case is dropped.
+    Timer timer;  ///< Starts the probe, then ends the investigation.
     bool probed = false;
   };
 
@@ -66,7 +71,7 @@
   OnTerminated on_terminated_;
   std::map<gateway::BackendId, std::unique_ptr<Investigation>> investigations_;
   std::map<gateway::BackendId, MonotonicTime> terminated_at_;
-  std::map<gateway::BackendId, MonotonicTime> accepted_at_;  ///< By the last probes.
+  std::map<gateway::BackendId, MonotonicTime> accepted_at_;  ///< Last accepted probes.
   std::uint64_t probes_ = 0;
 };
 
--- a/src/quarantine/tests/crash_announcer_test.cc
+++ b/src/quarantine/tests/crash_announcer_test.cc
@@ -1,4 +1,4 @@
-// When what is known of a request is told, and told again.
+// Tests when reports are sent, resent and refreshed.
 #include "quarantine/crash_announcer.h"
 
 #include <doctest/doctest.h>
@@ -24,7 +24,7 @@
                             time.now());
     announcer.note_change(request);
   }
-  /// When a request was told.
+  /// Returns the times at which reports on the request were sent.
   std::vector<Duration> sent_at(const gateway::RequestFingerprint& request) const {
     std::vector<Duration> times;
     for (const auto& [at, batch] : sent) {
@@ -47,9 +47,10 @@
 
 }  // namespace
 
-// The batch of an termination was lost and told again after 0.7 s only: its caller's next try, 0.4
-// s later, terminated one more backend.
-TEST_CASE("a change is told at once, again before most callers come back, and once more later") {
+// Guards against a resend delay longer than the callers' retry interval: a lost report was resent
+// only after 0.7 s, and the caller's retry after 0.4 s terminated another back end.
+TEST_CASE(
+    "a change is sent at once, resent before most callers retry, and resent once more later") {
   AnnouncerFixture fixture;
   fixture.time.run_until(MonotonicTime(1s));
   fixture.note_termination(kFirst);
@@ -60,7 +61,7 @@
   CHECK(fixture.sent_at(kSecond) == std::vector<Duration>{1053ms, 1150ms, 2450ms});
 }
 
-TEST_CASE("a change of what is still to be told again begins anew") {
+TEST_CASE("another change of a request restarts its resends") {
   AnnouncerFixture fixture;
   fixture.time.run_until(MonotonicTime(1s));
   fixture.note_termination(kFirst);
--- a/src/quarantine/tests/crash_ledger_test.cc
+++ b/src/quarantine/tests/crash_ledger_test.cc
@@ -1,4 +1,4 @@
-// What follows from backends' terminations, in whatever order nodes hear of them.
+// Tests the decisions that follow from terminations, in whatever order reports arrive.
 #include "quarantine/crash_ledger.h"
 
 #include <doctest/doctest.h>
@@ -32,7 +32,7 @@
   return MonotonicTime(since_start);
 }
 
-/// A ledger in which so many backends terminated under `kRequest`, the last at `last`.
+/// Returns a ledger with this many terminations of `kRequest`, all at `last`.
 CrashLedger make_ledger(int terminations, Duration last = 100s) {
   CrashLedger ledger;
   for (int i = 0; i != terminations; ++i) {
@@ -44,8 +44,8 @@
 }  // namespace
 
 TEST_CASE(
-    "the third backend that terminations puts a request in quarantine, a repeat of the batch does "
-    "not") {
+    "the third back end that terminates quarantines a request; a duplicate report changes "
+    "nothing") {
   CrashLedger ledger = make_ledger(2);
   CHECK(ledger.suspicion_level(kRequest) == SuspicionLevel::kSuspected);
   CHECK_FALSE(ledger.note_termination(kRequest, kService, termination_of(1), at(101s)));
@@ -54,7 +54,7 @@
   CHECK(ledger.suspicion_level(kRequest) == SuspicionLevel::kQuarantined);
 }
 
-TEST_CASE("backends that this node sees termination count before anybody has told of them") {
+TEST_CASE("terminations under investigation count before they are in the ledger") {
   const CrashLedger ledger = make_ledger(2);
   CHECK(ledger.suspicion_level(kRequest, {backend(1)}) == SuspicionLevel::kSuspected);
   CHECK(ledger.suspicion_level(kRequest, {backend(7)}) == SuspicionLevel::kQuarantined);
@@ -64,8 +64,7 @@
 }
 
 TEST_CASE(
-    "an answer frees a request, and what is heard later of terminations before it changes "
-    "nothing") {
+    "an answer clears a request, and a late report of earlier terminations does not change that") {
   CrashLedger ledger = make_ledger(3);
   const auto late = ledger.report(kRequest, at(100s));
   CHECK(ledger.excuse(kRequest));
@@ -76,7 +75,7 @@
   CHECK(ledger.suspicion_level(kRequest) == SuspicionLevel::kSuspected);
 }
 
-TEST_CASE("a backend that answers what was begun after its termination counts against nobody") {
+TEST_CASE("the termination of a back end that answers a later attempt counts against no request") {
   CrashLedger ledger = make_ledger(3);
   CHECK(ledger.suspects_for(backend(0), at(99s)).empty());
   CHECK(ledger.suspects_for(backend(0), at(101s)) == std::vector{kRequest});
@@ -85,14 +84,14 @@
   CHECK(ledger.suspicion_level(kRequest) == SuspicionLevel::kSuspected);
 }
 
-TEST_CASE("three trials, each after a longer pause, and no fourth") {
+TEST_CASE("three trials are allowed, each after a longer delay, and no fourth") {
   CrashLedger ledger = make_ledger(3);
-  const Duration pauses[] = {10s, 60s, 600s};
+  const Duration delays[] = {10s, 60s, 600s};
   MonotonicTime now = at(100s);
   for (std::uint32_t i = 0; i != 3; ++i) {
-    CHECK(ledger.time_to_trial(kRequest, now) == pauses[i]);
-    CHECK(ledger.retry_after(kRequest, now) == pauses[i]);
-    now += pauses[i];
+    CHECK(ledger.time_to_trial(kRequest, now) == delays[i]);
+    CHECK(ledger.retry_after(kRequest, now) == delays[i]);
+    now += delays[i];
     CHECK(ledger.time_to_trial(kRequest, now) == Duration::zero());
     ledger.note_trial(kRequest, i + 1, now);
     ledger.note_termination(kRequest, kService, termination_of(10 + static_cast<int>(i)), now);
@@ -101,7 +100,8 @@
   CHECK(ledger.retry_after(kRequest, now) == 10min);
 }
 
-TEST_CASE("what nobody sends any more is forgotten, and the store is to forget it, too") {
+TEST_CASE(
+    "a request that callers no longer send expires and is returned for removal from the store") {
   CrashLedger ledger = make_ledger(3);
   ledger.note_termination({9, 9}, kService, termination_of(0), at(100s));
   ledger.note_stored(kRequest, true);
@@ -114,7 +114,7 @@
   CHECK(ledger.empty());
 }
 
-TEST_CASE("a crowd of requests leaves those with the most ends") {
+TEST_CASE("a full ledger keeps the requests with the most terminations") {
   CrashLedger ledger({.max_requests = 100});
   for (int i = 0; i != 3; ++i) {
     ledger.note_termination(kRequest, kService, termination_of(i), at(1s));
@@ -126,15 +126,15 @@
   CHECK(ledger.suspicion_level(kRequest) == SuspicionLevel::kQuarantined);
 }
 
-TEST_CASE("nodes that have heard the same reports, in any order and number, know the same") {
-  CHECK(rc::check("reports merge", [] {
-    // Three nodes see terminations and answers; each report of theirs reaches two others as often
-    // as it may.
-    std::vector<CrashLedger> seen(3);
-    std::vector<CrashReport> told;
+TEST_CASE("nodes that merge the same reports in any order and number hold the same state") {
+  CHECK(rc::check("merging reports is commutative and idempotent", [] {
+    // Three nodes observe terminations and answers. Their reports are merged once in order, and
+    // once shuffled and each of them twice.
+    std::vector<CrashLedger> observers(3);
+    std::vector<CrashReport> reports;
     const int steps = *rc::gen::inRange(1, 30);
     for (int step = 0; step != steps; ++step) {
-      CrashLedger& ledger = seen[*rc::gen::inRange<std::size_t>(0, 3)];
+      CrashLedger& ledger = observers[*rc::gen::inRange<std::size_t>(0, 3)];
       const Request request{1, *rc::gen::inRange<std::uint64_t>(0, 3)};
       const MonotonicTime now = at(step * 1s);
       switch (*rc::gen::inRange(0, 4)) {
@@ -149,27 +149,27 @@
       }
       for (std::uint64_t low = 0; low != 3; ++low) {
         if (auto report = ledger.report({1, low}, now)) {
-          told.push_back(*report);
+          reports.push_back(*report);
         }
       }
     }
     CrashLedger one;
     CrashLedger other;
-    for (const CrashReport& report : told) {
+    for (const CrashReport& report : reports) {
       one.merge(report, at(100s));
     }
-    std::vector<CrashReport> again = told;
-    again.insert(again.end(), told.begin(), told.end());
+    std::vector<CrashReport> repeated = reports;
+    repeated.insert(repeated.end(), reports.begin(), reports.end());
     const auto order = *rc::gen::container<std::vector<std::uint64_t>>(
-        again.size(), rc::gen::arbitrary<std::uint64_t>());
-    std::vector<std::size_t> indices(again.size());
+        repeated.size(), rc::gen::arbitrary<std::uint64_t>());
+    std::vector<std::size_t> indices(repeated.size());
     for (std::size_t i = 0; i != indices.size(); ++i) {
       indices[i] = i;
     }
     std::sort(indices.begin(), indices.end(),
               [&](std::size_t left, std::size_t right) { return order[left] < order[right]; });
     for (const std::size_t index : indices) {
-      other.merge(again[index], at(200s));
+      other.merge(repeated[index], at(200s));
     }
     for (std::uint64_t low = 0; low != 3; ++low) {
       RC_ASSERT(one.suspicion_level({1, low}) == other.suspicion_level({1, low}));
@@ -181,23 +181,23 @@
   }));
 }
 
-TEST_CASE("ends that may have been forgotten count as one, and leave fewer trials") {
-  const BackendTermination forgotten{.backend = kUnknownBackend, .observer = NodeId("n")};
+TEST_CASE("an unknown termination counts as one and reduces the number of trials") {
+  const BackendTermination unknown{.backend = kUnknownBackend, .observer = NodeId("n")};
   CrashLedger ledger = make_ledger(1);
-  ledger.note_termination(kRequest, kService, forgotten, at(100s));
-  ledger.note_termination(kRequest, kService, forgotten, at(100s));
+  ledger.note_termination(kRequest, kService, unknown, at(100s));
+  ledger.note_termination(kRequest, kService, unknown, at(100s));
   CHECK(ledger.suspicion_level(kRequest) == SuspicionLevel::kSuspected);
   CHECK(ledger.should_store(kRequest));
   ledger.note_termination(kRequest, kService, termination_of(1), at(101s));
   CHECK(ledger.suspicion_level(kRequest) == SuspicionLevel::kQuarantined);
   CHECK(ledger.time_to_trial(kRequest, at(111s)) == Duration::zero());
-  // Two terminations, one trial: three sends may have followed the third termination.
+  // With two observed terminations and one trial, three sends may have followed the third
+  // termination.
   ledger.note_trial(kRequest, 1, at(111s));
   CHECK_FALSE(ledger.time_to_trial(kRequest, at(1000s)));
 }
 
-TEST_CASE(
-    "a request is left one trial, however many terminations came at once beside forgotten ones") {
+TEST_CASE("one trial remains however many terminations are counted beside an unknown one") {
   CrashLedger ledger = make_ledger(5);
   ledger.note_termination(kRequest, kService, {.backend = kUnknownBackend, .observer = NodeId("n")},
                           at(100s));
@@ -206,7 +206,7 @@
   CHECK_FALSE(ledger.time_to_trial(kRequest, at(1000s)));
 }
 
-TEST_CASE("an answer clears a request of forgotten terminations, too") {
+TEST_CASE("an answer also excuses an unknown termination") {
   CrashLedger ledger = make_ledger(1);
   ledger.note_termination(kRequest, kService, {.backend = kUnknownBackend, .observer = NodeId("n")},
                           at(100s));
--- a/src/quarantine/tests/ledger_horizon_test.cc
+++ b/src/quarantine/tests/ledger_horizon_test.cc
@@ -1,4 +1,4 @@
-// How far back a node's knowledge reaches, whatever others tell of theirs.
+// Tests how far back a node's ledger is complete after reports of other nodes.
 #include "quarantine/ledger_horizon.h"
 
 #include <doctest/doctest.h>
@@ -20,21 +20,21 @@
 
 }  // namespace
 
-TEST_CASE("a node that starts alone is complete only once nothing of before could matter") {
+TEST_CASE("a node that starts alone is complete once earlier terminations have expired") {
   const LedgerHorizon horizon(at(50s), kRequiredAge);
   CHECK_FALSE(horizon.is_complete(at(50s)));
   CHECK_FALSE(horizon.is_complete(at(649s)));
   CHECK(horizon.is_complete(at(650s)));
 }
 
-TEST_CASE("a fleet that has never run has forgotten nothing") {
+TEST_CASE("the ledger of a fleet that has never run is complete") {
   LedgerHorizon horizon(at(50s), kRequiredAge);
   horizon.mark_complete(at(50s));
   CHECK(horizon.is_complete(at(50s)));
   CHECK(horizon.report(0, at(50s)).age == kRequiredAge);
 }
 
-TEST_CASE("a horizon is taken over once what the other knew is here") {
+TEST_CASE("another node's horizon is adopted once the ledger holds as many requests") {
   LedgerHorizon horizon(at(50s), kRequiredAge);
   horizon.receive({.age = kRequiredAge, .requests = 3}, at(51s));
   horizon.apply_pending_report(2);
@@ -45,7 +45,7 @@
   CHECK_FALSE(horizon.has_pending_report());
 }
 
-TEST_CASE("of nodes that have all just started none makes another complete") {
+TEST_CASE("nodes that have all just started do not make each other complete") {
   LedgerHorizon horizon(at(50s), kRequiredAge);
   horizon.receive({.age = 2s, .requests = 0}, at(51s));
   horizon.apply_pending_report(0);
@@ -53,7 +53,7 @@
   CHECK(horizon.report(0, at(51s)).age == 2s);
 }
 
-TEST_CASE("a report that lacks too much does not keep a later one out") {
+TEST_CASE("a pending report that cannot be adopted does not block a later one") {
   LedgerHorizon horizon(at(50s), kRequiredAge);
   horizon.receive({.age = kRequiredAge, .requests = 9}, at(51s));
   horizon.receive({.age = 1s, .requests = 0}, at(52s));
@@ -62,12 +62,12 @@
   CHECK(horizon.is_complete(at(53s)));
 }
 
-TEST_CASE("whatever is told, a horizon never moves on, and never farther back than was told") {
-  CHECK(rc::check([](const std::vector<std::pair<std::int32_t, std::uint8_t>>& told) {
+TEST_CASE("the horizon never moves forward, and never farther back than reported") {
+  CHECK(rc::check([](const std::vector<std::pair<std::int32_t, std::uint8_t>>& reports) {
     LedgerHorizon horizon(at(1000s), kRequiredAge);
     Duration farthest = 0s;
     Duration known = 0s;
-    for (const auto& [age, requests] : told) {
+    for (const auto& [age, requests] : reports) {
       horizon.receive({.age = 1s * age, .requests = requests}, at(1000s));
       horizon.apply_pending_report(4);
       if (requests <= 4) {
--- a/src/quarantine/tests/quarantine_store_test.cc
+++ b/src/quarantine/tests/quarantine_store_test.cc
@@ -1,4 +1,4 @@
-// What nodes agree on by the store.
+// Tests the agreement of nodes through the shared store.
 #include "quarantine/quarantine_store.h"
 
 #include <doctest/doctest.h>
@@ -15,7 +15,7 @@
 namespace {
 
 struct StoreFixture {
-  /// Claims a trial by the view of a node that knows of `trials`.
+  /// Claims a trial as a node that knows of `trials` earlier ones.
   void claim(std::uint32_t trials) {
     CrashReport report;
     report.trials = trials;
@@ -40,7 +40,7 @@
 
 }  // namespace
 
-TEST_CASE("of many nodes that ask at once one is granted the trial") {
+TEST_CASE("one of many concurrent claims is granted the trial") {
   StoreFixture fixture;
   for (int i = 0; i != 20; ++i) {
     fixture.claim(0);
@@ -51,7 +51,7 @@
     CHECK(claim.trials == 1);
   }
   fixture.claims.clear();
-  fixture.claim(0);  // A node that has not heard of the first.
+  fixture.claim(0);  // A node that has not received the report of the first trial.
   fixture.advance();
   CHECK(fixture.granted() == 0);
   CHECK(fixture.claims.at(0).trials == 1);
@@ -60,7 +60,7 @@
   CHECK(fixture.granted() == 1);
 }
 
-TEST_CASE("without the store nobody is granted a trial, and none is used up") {
+TEST_CASE("without the store no trial is granted or counted") {
   StoreFixture fixture;
   fixture.state.down = true;
   fixture.claim(0);
@@ -69,7 +69,7 @@
   CHECK(fixture.claims.at(0).trials == 0);
 }
 
-TEST_CASE("a claim whose answer is lost may have been counted: nobody sends") {
+TEST_CASE("a claim whose answer is lost is not granted, as it may have been counted") {
   StoreFixture fixture;
   CrashReport report;
   fixture.quarantined.add(report, [](bool stored) { CHECK(stored); });
@@ -81,7 +81,7 @@
   CHECK(fixture.granted() == 0);
 }
 
-TEST_CASE("a request is stored once, whoever writes it, and removed") {
+TEST_CASE("a request that several nodes write is stored once and can be removed") {
   StoreFixture fixture;
   int stored = 0;
   for (int i = 0; i != 3; ++i) {
@@ -96,7 +96,7 @@
   CHECK(fixture.state.items.empty());
 }
 
-TEST_CASE("the mark that the fleet has run is written once, and is no request") {
+TEST_CASE("the fleet marker is written once and is not taken for a request") {
   StoreFixture fixture;
   int marked = 0;
   for (int i = 0; i != 3; ++i) {
--- a/src/quarantine/tests/termination_detector_test.cc
+++ b/src/quarantine/tests/termination_detector_test.cc
@@ -1,4 +1,4 @@
-// Which breaks of connections are taken for the termination of a backend.
+// Tests which broken connections are treated as the termination of a back end.
 #include "quarantine/termination_detector.h"
 
 #include <doctest/doctest.h>
@@ -45,7 +45,7 @@
   simulation::VirtualTime time;
   gateway::FleetState fleet;
   std::deque<std::function<void(http::ProbeResult)>> probes;
-  std::vector<std::size_t> terminated;  ///< Requests of each termination.
+  std::vector<std::size_t> terminated;  ///< Number of attempts of each reported termination.
   TerminationDetector detector{time, time, fleet,
                                [this](const Endpoint& address, auto done) {
                                  CHECK(address == Endpoint("s:1"));
@@ -59,8 +59,7 @@
 
 }  // namespace
 
-TEST_CASE(
-    "a backend that refuses connections has ended, under all requests whose breaks were seen") {
+TEST_CASE("a refused probe reports the termination with all attempts that failed at the back end") {
   DetectorFixture fixture;
   fixture.note_break(gateway::BreakKind::kClosed, 1);
   fixture.note_break(gateway::BreakKind::kClosed, 2);
@@ -71,7 +70,8 @@
   fixture.answer_probe(http::ProbeResult::kRefused);
   CHECK(fixture.terminated == std::vector<std::size_t>{2});
   CHECK(fixture.detector.idle());
-  // One more that broke with the others, and one that was begun after the termination.
+  // An attempt that failed with the others is reported; one that started after the termination is
+  // not.
   fixture.note_break(gateway::BreakKind::kClosed, 3);
   fixture.advance(1s);
   fixture.note_break(gateway::BreakKind::kClosed, 4);
@@ -79,37 +79,37 @@
   CHECK(fixture.probes.empty());
 }
 
-TEST_CASE("a backend that accepts a connection lives") {
+TEST_CASE("an accepted probe reports no termination") {
   DetectorFixture fixture;
   fixture.note_break();
   fixture.advance(50ms);
   fixture.answer_probe(http::ProbeResult::kAccepted);
   CHECK(fixture.terminated.empty());
   CHECK(fixture.detector.idle());
-  // For a while silence is not worth another probe, a closed connection is.
+  // For a while an unresponsive attempt does not cause another probe, but a closed connection does.
   fixture.note_break(gateway::BreakKind::kSilent);
   CHECK(fixture.detector.idle());
   fixture.note_break(gateway::BreakKind::kClosed);
   CHECK_FALSE(fixture.detector.idle());
 }
 
-TEST_CASE("without an answer the view decides") {
+TEST_CASE("if the probe is not answered, the fleet view decides") {
   DetectorFixture fixture;
   fixture.note_break(gateway::BreakKind::kSilent);
   CHECK(fixture.detector.suspected_terminations({0, 1}).empty());
   fixture.advance(50ms);
   fixture.answer_probe(http::ProbeResult::kNoAnswer);
   CHECK(fixture.terminated.empty());
-  SUBCASE("its entry goes") {
+  SUBCASE("the back end is removed from the view") {
     fixture.advance(4s);
     fixture.detector.note_backend_removed(DetectorFixture::make_backend(false));
     CHECK(fixture.terminated == std::vector<std::size_t>{1});
   }
-  SUBCASE("it had said that it leaves") {
+  SUBCASE("the back end is removed after announcing that it leaves") {
     fixture.detector.note_backend_removed(DetectorFixture::make_backend(true));
     CHECK(fixture.terminated.empty());
   }
-  SUBCASE("nothing happens") {
+  SUBCASE("the view does not change before the timeout") {
     fixture.advance(11s);
     CHECK(fixture.detector.idle());
     fixture.detector.note_backend_removed(DetectorFixture::make_backend(false));
@@ -117,7 +117,7 @@
   }
 }
 
-TEST_CASE("backends that leave as planned, or have left the view, are not watched") {
+TEST_CASE("back ends that are draining or no longer in the view are not investigated") {
   DetectorFixture fixture;
   fixture.fleet.put(DetectorFixture::make_backend(true));
   fixture.note_break();
--- a/src/quarantine/types.h
+++ b/src/quarantine/types.h
@@ -1,4 +1,5 @@
-// What nodes tell each other, and write to the store, of requests under which backends have ended.
+// Messages between nodes, and values in the shared store, about requests during which back ends
+// terminated.
 #pragma once
 
 #include <cstdint>
@@ -11,12 +12,15 @@
 
 namespace ochrespring::quarantine {
 
-/// One backend's termination while it had the request.
+/// The termination of one back end while it was processing a request.
 struct BackendTermination {
   gateway::BackendId backend;
-  NodeId observer;
-  Duration age{};  ///< When the report was made; clocks of machines are not compared.
-  /// Holds nothing against the request any more: it was answered since, or the backend lives.
+  NodeId observer;  ///< The node that detected the termination.
+  /// Time since the termination when the report was made. An age rather than a timestamp, because
+  /// the clocks of different machines are not compared.
+  Duration age{};
+  /// No longer counts against the request: the request was answered since, or the back end turned
+  /// out to be running.
   bool excused = false;
 
   template <class Archive>
@@ -28,16 +32,17 @@
   }
 };
 
-/// All that one node knows of one request. Reports merge: in whatever order they come, lost or
-/// doubled, nodes that have heard the same know the same.
+/// Everything that one node knows about one request. Merging reports is commutative and
+/// idempotent: nodes that have received the same reports, in any order and any number of times,
+/// hold the same state.
 struct CrashReport {
   gateway::RequestFingerprint request;
   ServiceName service;
-  std::vector<BackendTermination> terminations;  ///< Each backend once.
-  std::uint32_t trials = 0;                      ///< Sends that were tried in quarantine.
-  Duration trial_age{};                          ///< Since the last of them.
-  Duration last_request_age{};                   ///< Since the request last came, to any node.
-  bool stored = false;                           ///< The store has it.
+  std::vector<BackendTermination> terminations;  ///< At most one for each back end.
+  std::uint32_t trials = 0;                      ///< Sends allowed while quarantined.
+  Duration trial_age{};                          ///< Time since the last trial.
+  Duration last_request_age{};                   ///< Time since any node last received the request.
+  bool stored = false;                           ///< Whether the shared store holds the request.
 
   template <class Archive>
   void serialize(Archive& archive, unsigned /*version*/) {
@@ -51,7 +56,7 @@
   }
 };
 
-/// A datagram.
+/// The crash reports sent in one datagram.
 struct CrashReportBatch {
   std::vector<CrashReport> reports;
 
@@ -61,10 +66,11 @@
   }
 };
 
-/// Asks a node for all that it knows, if that reaches farther back than what the asker knows.
+/// Asks a node for all of its crash reports, if its history reaches farther back than that of the
+/// requesting node.
 struct HorizonRequest {
   Endpoint reply_to;
-  Duration age{};  ///< Of the asker's horizon.
+  Duration age{};  ///< Age of the requesting node's horizon.
 
   template <class Archive>
   void serialize(Archive& archive, unsigned /*version*/) {
@@ -73,11 +79,10 @@
   }
 };
 
-/// How far back a node's ledger reaches: it has all terminations since, of this many requests.
-/// PendingReport behind the reports of these.
+/// How far back a node's ledger is complete. Sent after the crash reports themselves.
 struct HorizonReport {
-  Duration age{};
-  std::uint32_t requests = 0;
+  Duration age{};              ///< The ledger has all terminations of this period.
+  std::uint32_t requests = 0;  ///< Number of suspected and quarantined requests in the ledger.
 
   template <class Archive>
   void serialize(Archive& archive, unsigned /*version*/) {
