--- a/src/admission/admission_control.h
+++ b/src/admission/admission_control.h
@@ -23,8 +23,8 @@
   std::uint64_t backoffs_received = 0;    ///< Answers that asked this node to back off.
   std::uint64_t backoffs_unreadable = 0;  ///< Refusals whose backoff period could not be parsed.
   std::uint64_t backoffs_reported = 0;    ///< Backoffs reported by other nodes.
-  std::uint64_t departures_received =
-      0;  ///< Back ends that announced to this node first that they leave.
+  /// Back ends that announced to this node first that they are leaving.
+  std::uint64_t departures_received = 0;
   std::uint64_t departures_reported = 0;  ///< Back ends first reported as leaving by another node.
 };
 
--- a/src/admission/backoff_table.h
+++ b/src/admission/backoff_table.h
@@ -85,8 +85,8 @@
   };
 
   std::map<gateway::BackendId, Entry> entries_;
-  std::map<std::string, LastBackoff>
-      last_backoffs_;                     ///< By name; only back ends with incarnations.
+  /// By name; only for back ends whose incarnations are distinguished.
+  std::map<std::string, LastBackoff> last_backoffs_;
   std::size_t prune_at_ = kMinPruneSize;  ///< Size at which expired entries are dropped.
 };
 
--- a/src/peer_load/tests/peer_load_test.cc
+++ b/src/peer_load/tests/peer_load_test.cc
@@ -259,7 +259,9 @@
   CHECK(late == 0);
 }
 
-TEST_CASE("reports survive a round trip through the codec, and arbitrary bytes are handled") {
+TEST_CASE(
+    "reports survive a round trip through the codec, and arbitrary bytes do not decode to more "
+    "than their size") {
   const WorkReport report = make_report("a", 3, 2, 100);
   const auto read = wire::decode<WorkReport>(wire::encode(report));
   REQUIRE(read);
--- a/src/peer_load/types.h
+++ b/src/peer_load/types.h
@@ -16,8 +16,8 @@
   gateway::BackendId engine;
   std::uint32_t requests = 0;
   std::uint64_t pending_prefill_tokens = 0;  ///< Input tokens that are not prefilled yet.
-  std::uint32_t ended =
-      0;  ///< Attempts that ended since the last report and reflect the health of the engine.
+  /// Attempts that ended since the last report and reflect the health of the engine.
+  std::uint32_t ended = 0;
   std::uint32_t failed = 0;  ///< Those of `ended` that failed.
   bool silent = false;       ///< The engine has just been unresponsive to this node.
   /// Keys of shared prompt parts that were prefilled since the last report.
--- a/src/peer_load/work_announcer.h
+++ b/src/peer_load/work_announcer.h
@@ -64,7 +64,7 @@
   static constexpr std::size_t kMaxEngines = 80;
 
   void announce();
-  /// Adds to the report; sends it first when it is full.
+  /// Adds to the report, and sends it whenever it is full.
   void append(EngineWork work, const Send& send);
   void flush(const Send& send);
   EngineWork work_at(const gateway::BackendId& engine) const;
--- a/src/quarantine/termination_detector.cc
+++ b/src/quarantine/termination_detector.cc
@@ -16,8 +16,8 @@
 constexpr Duration kProbeDelay = milliseconds(30);
 /// Time for which an unanswered probe waits for the fleet view: three heartbeats and a poll.
 constexpr Duration kInvestigationTimeout = seconds(10);
-/// After an accepted probe, unresponsive attempts don't cause another one for this long: under load
-/// many requests reach their deadlines.
+/// For this long after an accepted probe, attempts that failed without a closed connection do not
+/// cause another one: under load many requests reach their deadlines.
 constexpr Duration kProbeSuppression = seconds(1);
 /// Attempts kept for each investigation.
 constexpr std::size_t kMaxAttempts = 512;
@@ -36,7 +36,7 @@
 void TerminationDetector::note_failed_attempt(const gateway::BrokenAttempt& attempt) {
   const auto known = terminated_at_.find(attempt.backend);
   if (known != terminated_at_.end()) {
-    // Attempts started after the termination failed on connections from before it.
+    // An attempt that started after the termination failed on an older connection; not counted.
     if (attempt.started < known->second) {
       on_terminated_(attempt.backend, {attempt});
     }
