--- a/src/admission/admission_control.h
+++ b/src/admission/admission_control.h
@@ -1,5 +1,4 @@
-// The one place of a node that knows what back ends have said of what they take, and that says
-// whether a request may be sent to them.
+// Decides whether requests may be sent to a back end, from what the back end has announced.
 #pragma once
 
 #include <cstdint>
@@ -21,23 +20,27 @@
 namespace ochrespring::admission {
 
 struct AdmissionStatistics {
-  std::uint64_t backoffs_heard = 0;       ///< Answers that asked this node for a pause.
-  std::uint64_t backoffs_unreadable = 0;  ///< Refusals whose time could not be read.
-  std::uint64_t backoffs_told = 0;        ///< Pauses that other nodes have told of.
-  std::uint64_t leavings_heard = 0;       ///< Back ends that said so to this node first.
-  std::uint64_t leavings_told = 0;        ///< Back ends that other nodes told of first.
+  std::uint64_t backoffs_received = 0;    ///< Answers that asked this node to back off.
+  std::uint64_t backoffs_unreadable = 0;  ///< Refusals whose backoff period could not be parsed.
+  std::uint64_t backoffs_reported = 0;    ///< Backoffs reported by other nodes.
+  /// Back ends that announced to this node first that they are leaving.
+  std::uint64_t departures_received = 0;
+  std::uint64_t departures_reported = 0;  ///< Back ends first reported as leaving by another node.
 };
 
-/// Joins what closes a back end to this node: a pause that it has asked this node for, its leaving,
-/// and its rate limit. Leaving is true for all nodes and told to them; so are pauses, but to others
-/// a pause only makes the back end a worse choice, as a refusal of their own would: it was asked of
-/// one node, and the others may have the room that this one has not.
+/// Combines the reasons for which this node must not send requests to a back end: it has asked this
+/// node to back off, it is leaving, or its rate limit is reached.
 ///
-/// Does no input or output itself; one loop.
+/// Other nodes are notified of both leaving and backoffs. Leaving applies to all nodes. A backoff
+/// applies only to the node that was asked, since the back end may have room for other nodes; for
+/// them, as a refusal of their own requests would, it only makes the back end a less preferred
+/// choice.
+///
+/// Performs no I/O itself. Not thread-safe; used on one event loop.
 class AdmissionControl final : public gateway::SendGate {
  public:
-  /// References outlive it.
-  struct World {
+  /// The referenced objects must outlive the AdmissionControl.
+  struct Dependencies {
     const Clock& clock;
     RandomSource& random;
     logging::Logger& logger;
@@ -46,15 +49,15 @@
     rate_limit::RateLimiter& rate_limiter;
   };
 
-  /// `tell_all` takes news for all other nodes, which may be lost, doubled or late.
-  AdmissionControl(World world, std::function<void(const BackendNotice&)> tell_all)
-      : world_(world), tell_all_(std::move(tell_all)) {}
+  /// `broadcast` sends a notice to all other nodes; notices may be lost, duplicated or delayed.
+  AdmissionControl(Dependencies dependencies, std::function<void(const BackendNotice&)> broadcast)
+      : dependencies_(dependencies), broadcast_(std::move(broadcast)) {}
 
   bool has_room(const gateway::BackendId& backend, MonotonicTime now) const override;
   gateway::ClaimResult claim(const gateway::BackendId& backend, gateway::SendRank rank,
                              std::function<void(bool granted)> done) override;
   bool is_backing_off(const gateway::BackendId& backend, MonotonicTime now) const override {
-    return backoffs_.is_paused(backend, now);
+    return backoffs_.is_backing_off(backend, now);
   }
   bool may_send(const gateway::BackendId& backend, MonotonicTime now) const override;
   void note_send(const gateway::BackendId& backend, MonotonicTime now) override;
@@ -62,13 +65,13 @@
                                                 MonotonicTime now) const override;
   void note_answer(const gateway::BackendAnswer& answer) override;
 
-  /// A life of a back end has come to be known.
-  void note_known(const gateway::BackendId& backend) {
-    backoffs_.note_known(backend, world_.clock.now());
+  /// An incarnation of a back end was added to the fleet view.
+  void note_backend_added(const gateway::BackendId& backend) {
+    backoffs_.note_added(backend, dependencies_.clock.now());
   }
-  void take(const BackendNotice& notice);
-  /// Tells a node that has just started all that is known.
-  void tell_all(const std::function<void(const BackendNotice&)>& send) const;
+  void receive(const BackendNotice& notice);
+  /// Sends all notices that are in force, for a node that has just started.
+  void send_all(const std::function<void(const BackendNotice&)>& send) const;
 
   const AdmissionStatistics& statistics() const { return statistics_; }
   void add_metrics(metrics::SampleSink& sink) const;
@@ -78,10 +81,10 @@
   void note_leaving(const gateway::BackendId& backend);
   void log(std::string_view message, const gateway::BackendId& backend, std::string_view source,
            Duration span) const;
-  Duration spread(Duration span) const;
+  Duration jitter(Duration span) const;
 
-  World world_;
-  std::function<void(const BackendNotice&)> tell_all_;
+  Dependencies dependencies_;
+  std::function<void(const BackendNotice&)> broadcast_;
   BackoffTable backoffs_;
   AdmissionStatistics statistics_;
 };
--- a/src/peer_load/datagram_socket.cc
+++ b/src/peer_load/datagram_socket.cc
@@ -13,9 +13,9 @@
 
 namespace {
 
-constexpr std::size_t kLargestDatagram = 8192;
-/// Datagrams taken in one turn of the loop.
-constexpr int kDatagramsPerTurn = 64;
+constexpr std::size_t kMaxDatagramBytes = 8192;
+/// Maximum number of datagrams received for one event of the loop.
+constexpr int kMaxDatagramsPerRead = 64;
 
 }  // namespace
 
@@ -34,8 +34,8 @@
 
   static void on_readable(h2o_socket_t* socket, const char* /*error*/) {
     auto* state = static_cast<State*>(socket->data);
-    std::array<char, kLargestDatagram> buffer;
-    for (int i = 0; i != kDatagramsPerTurn; ++i) {
+    std::array<char, kMaxDatagramBytes> buffer;
+    for (int i = 0; i != kMaxDatagramsPerRead; ++i) {
       const ssize_t size =
           ::recv(h2o_socket_get_fd(socket), buffer.data(), buffer.size(), MSG_DONTWAIT);
       if (size < 0) {
@@ -54,7 +54,7 @@
     http::EventLoop& loop, const Endpoint& endpoint, Receive receive) {
   const auto address = parse_endpoint(endpoint);
   if (!address) {
-    return fail(http::HttpErrc::kAddressInvalid, "not an address: " + endpoint.value());
+    return fail(http::HttpErrc::kAddressInvalid, "invalid address: " + endpoint.value());
   }
   const int descriptor =
       ::socket(address->storage.ss_family, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
@@ -62,7 +62,7 @@
     if (descriptor >= 0) {
       ::close(descriptor);
     }
-    return fail(http::HttpErrc::kAddressInUse, "cannot bind " + endpoint.value());
+    return fail(http::HttpErrc::kAddressInUse, "cannot bind UDP socket to " + endpoint.value());
   }
   auto state = std::make_unique<State>();
   state->receive = std::move(receive);
--- a/src/peer_load/tests/peer_load_test.cc
+++ b/src/peer_load/tests/peer_load_test.cc
@@ -1,4 +1,4 @@
-// What nodes believe of each other's work, with datagrams lost, late and doubled.
+// Tests the exchange of work reports between nodes, with datagrams lost, delayed and duplicated.
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
@@ -28,24 +28,24 @@
           sequence,
           {{.engine = BackendId("e"),
             .requests = requests,
-            .unread_tokens = tokens,
+            .pending_prefill_tokens = tokens,
             .prefilled_parts = {}}}};
 }
 
-/// A node and what it announces of its own work.
+/// A node and the reports that it sends about its own work.
 struct AnnouncingNode {
   simulation::VirtualTime time;
   gateway::LoadTable loads;
   std::vector<WorkReport> sent;
   WorkAnnouncer announcer{time,
-                          {.node = NodeId("a"), .life = 7},
+                          {.node = NodeId("a"), .incarnation = 7},
                           [this](const BackendId& id) { return loads.own(id); },
                           [this](const WorkReport& report) { sent.push_back(report); }};
 };
 
 }  // namespace
 
-TEST_CASE("the work of several nodes adds up, and the newest report of each counts") {
+TEST_CASE("the newest reports of several nodes are summed") {
   PeerWork work;
   const MonotonicTime now{};
   work.apply(make_report("a", 1, 2, 100), now);
@@ -57,19 +57,20 @@
   CHECK(work.work_at(BackendId("other"), now).requests == 0);
 }
 
-TEST_CASE("work of a node that falls silent is forgotten; a new life begins anew") {
+TEST_CASE(
+    "the work of a node that stops reporting expires; a new incarnation restarts its sequence") {
   PeerWork work;
   MonotonicTime now{};
   work.apply(make_report("a", 50, 2, 100), now);
   CHECK(work.work_at(BackendId("e"), now + 2s).requests == 2);
   CHECK(work.work_at(BackendId("e"), now + 3s).requests == 0);
-  WorkReport reborn = make_report("a", 1, 1, 10);
-  reborn.life = 2;
-  work.apply(reborn, now);
+  WorkReport restarted = make_report("a", 1, 1, 10);
+  restarted.incarnation = 2;
+  work.apply(restarted, now);
   CHECK(work.work_at(BackendId("e"), now).requests == 1);
 }
 
-TEST_CASE("of what a relay adds up, this node's own work is not that of others") {
+TEST_CASE("this node's own work is subtracted from relayed sums") {
   gateway::LoadTable loads;
   PeerWork work([&](const BackendId& engine) { return loads.own(engine); });
   const MonotonicTime now{};
@@ -77,13 +78,13 @@
   work.apply_relayed(make_report("relay", 1, 3, 700), now);
   CHECK(work.work_at(BackendId("e"), now).requests == 2);
   CHECK(work.work_at(BackendId("e"), now).pending_prefill_tokens == 600);
-  // The sum may be older than what began here since.
+  // The sum may be older than the work that has begun here since.
   work.apply_relayed(make_report("relay", 2, 0, 0), now);
   CHECK(work.work_at(BackendId("e"), now).requests == 0);
   CHECK(work.work_at(BackendId("e"), now).pending_prefill_tokens == 0);
 }
 
-TEST_CASE("a relay's sums are forgotten when relays fall silent; what a node tells itself counts") {
+TEST_CASE("relayed sums expire when relays stop reporting; direct reports still count") {
   PeerWork work;
   const MonotonicTime now{};
   work.apply_relayed(make_report("relay", 1, 3, 700), now);
@@ -95,7 +96,7 @@
   CHECK(work.work_at(BackendId("e"), now + 3s).requests == 0);
 }
 
-TEST_CASE("sums of direct reports are those of the newest report of each living node") {
+TEST_CASE("direct work is the sum of the newest unexpired report of each node") {
   CHECK(rc::check(
       [](const std::vector<std::tuple<std::uint8_t, std::uint8_t, std::uint16_t>>& steps) {
         PeerWork work;
@@ -108,8 +109,8 @@
                      now);
           expected[node % 5] = {requests, now};
           std::uint32_t sum = 0;
-          for (const auto& [id, told] : expected) {
-            sum += now - told.second <= PeerWork::kReportLifetime ? told.first : 0;
+          for (const auto& [id, report] : expected) {
+            sum += now - report.second <= PeerWork::kReportLifetime ? report.first : 0;
           }
           RC_ASSERT(work.work_at(BackendId("e"), now).requests == sum);
           RC_ASSERT(work.work_at(BackendId("e"), now).pending_prefill_tokens == sum);
@@ -117,12 +118,12 @@
       }));
 }
 
-TEST_CASE("a relay tells sums, ends and parts together, and repeats nothing by itself") {
+TEST_CASE("a relay sends sums, attempts and parts together and does not refresh them") {
   simulation::VirtualTime time;
   PeerWork work;
   std::vector<WorkReport> sent;
   WorkAnnouncer relay(
-      time, {.node = NodeId("r"), .life = 7, .gather = 40ms, .repeat = false},
+      time, {.node = NodeId("r"), .incarnation = 7, .batch_window = 40ms, .refresh = false},
       [&](const BackendId& id) { return work.direct_work_at(id, time.now()); },
       [&](const WorkReport& sums) { sent.push_back(sums); });
   for (const char* node : {"a", "b"}) {
@@ -141,124 +142,130 @@
   REQUIRE(sent[0].engines.size() == 1);
   const EngineWork& sum = sent[0].engines[0];
   CHECK(sum.requests == 4);
-  CHECK(sum.unread_tokens == 600);
+  CHECK(sum.pending_prefill_tokens == 600);
   CHECK(sum.ended == 6);
   CHECK(sum.failed == 2);
   CHECK(sum.silent);
   CHECK(sum.prefilled_parts.size() == 2);
 }
 
-TEST_CASE("a report on very many engines goes out in datagrams that others can take") {
-  AnnouncingNode world;
+TEST_CASE("a report on many engines is split into datagrams of valid size") {
+  AnnouncingNode fixture;
   for (int i = 0; i != 770; ++i) {
     const BackendId engine("i-0123456789abcdef" + std::to_string(i));
-    world.announcer.note_parts(engine, {~std::uint64_t{1}, ~std::uint64_t{2}, ~std::uint64_t{3}});
+    fixture.announcer.note_prefilled_parts(
+        engine, {~std::uint64_t{1}, ~std::uint64_t{2}, ~std::uint64_t{3}});
   }
-  world.time.run_until(world.time.now() + 10ms);
+  fixture.time.run_until(fixture.time.now() + 10ms);
   std::size_t engines = 0;
-  for (const WorkReport& report : world.sent) {
+  for (const WorkReport& report : fixture.sent) {
     CHECK(wire::encode(report).size() < 8192);
     engines += report.engines.size();
   }
   CHECK(engines >= 770);
 }
 
-TEST_CASE("a node announces changes together, repeats what is not over, and then is quiet") {
-  AnnouncingNode world;
-  world.loads.on_change([&](const BackendId& id) { world.announcer.note_change(id); });
-  world.loads.begin(BackendId("e"), 40);
-  world.loads.begin(BackendId("e"), 60);
-  world.time.run_until(world.time.now() + 10ms);
-  REQUIRE(world.sent.size() == 1);
-  CHECK(world.sent[0].engines[0].requests == 2);
-  CHECK(world.sent[0].engines[0].unread_tokens == 100);
-  world.time.run_until(world.time.now() + 1100ms);
-  CHECK(world.sent.size() == 2);
-  world.loads.end(BackendId("e"), gateway::AttemptOutcome::kSucceeded, world.time.now());
-  world.loads.end(BackendId("e"), gateway::AttemptOutcome::kSucceeded, world.time.now());
-  world.time.run_until(world.time.now() + 10s);
-  CHECK(world.sent.back().engines[0].requests == 0);
-  CHECK(world.sent.size() == 3);
+TEST_CASE("a node batches changes, refreshes ongoing work and stops when it has ended") {
+  AnnouncingNode fixture;
+  fixture.loads.on_change([&](const BackendId& id) { fixture.announcer.note_change(id); });
+  fixture.loads.begin(BackendId("e"), 40);
+  fixture.loads.begin(BackendId("e"), 60);
+  fixture.time.run_until(fixture.time.now() + 10ms);
+  REQUIRE(fixture.sent.size() == 1);
+  CHECK(fixture.sent[0].engines[0].requests == 2);
+  CHECK(fixture.sent[0].engines[0].pending_prefill_tokens == 100);
+  fixture.time.run_until(fixture.time.now() + 1100ms);
+  CHECK(fixture.sent.size() == 2);
+  fixture.loads.end(BackendId("e"), gateway::AttemptOutcome::kSucceeded, fixture.time.now());
+  fixture.loads.end(BackendId("e"), gateway::AttemptOutcome::kSucceeded, fixture.time.now());
+  fixture.time.run_until(fixture.time.now() + 10s);
+  CHECK(fixture.sent.back().engines[0].requests == 0);
+  CHECK(fixture.sent.size() == 3);
 }
 
-TEST_CASE("a silent back end is told once, with its work") {
-  AnnouncingNode world;
-  world.loads.on_change([&](const BackendId& id) { world.announcer.note_change(id); });
-  world.loads.on_unresponsive([&](const BackendId& id) { world.announcer.note_silence(id); });
-  world.loads.begin(BackendId("e"), 0);
-  world.loads.note_unresponsive(BackendId("e"), world.time.now());
-  world.time.run_until(world.time.now() + 10ms);
-  world.loads.end(BackendId("e"), gateway::AttemptOutcome::kFailed, world.time.now());
-  world.time.run_until(world.time.now() + 10ms);
-  REQUIRE(world.sent.size() == 2);
-  CHECK(world.sent[0].engines[0].silent);
-  CHECK_FALSE(world.sent[1].engines[0].silent);
+TEST_CASE("an unresponsive back end is reported once, together with its work") {
+  AnnouncingNode fixture;
+  fixture.loads.on_change([&](const BackendId& id) { fixture.announcer.note_change(id); });
+  fixture.loads.on_unresponsive([&](const BackendId& id) { fixture.announcer.note_silence(id); });
+  fixture.loads.begin(BackendId("e"), 0);
+  fixture.loads.note_unresponsive(BackendId("e"), fixture.time.now());
+  fixture.time.run_until(fixture.time.now() + 10ms);
+  fixture.loads.end(BackendId("e"), gateway::AttemptOutcome::kFailed, fixture.time.now());
+  fixture.time.run_until(fixture.time.now() + 10ms);
+  REQUIRE(fixture.sent.size() == 2);
+  CHECK(fixture.sent[0].engines[0].silent);
+  CHECK_FALSE(fixture.sent[1].engines[0].silent);
 }
 
-TEST_CASE("how attempts ended is told once") {
-  AnnouncingNode world;
-  world.loads.on_change([&](const BackendId& id) { world.announcer.note_change(id); });
-  world.loads.on_end(
-      [&](const BackendId& id, bool failed) { world.announcer.note_end(id, failed); });
+TEST_CASE("the outcomes of attempts are reported once") {
+  AnnouncingNode fixture;
+  fixture.loads.on_change([&](const BackendId& id) { fixture.announcer.note_change(id); });
+  fixture.loads.on_end(
+      [&](const BackendId& id, bool failed) { fixture.announcer.note_attempt_end(id, failed); });
   for (const auto verdict : {gateway::AttemptOutcome::kSucceeded, gateway::AttemptOutcome::kFailed,
                              gateway::AttemptOutcome::kAbandoned}) {
-    world.loads.begin(BackendId("e"), 0);
-    world.loads.end(BackendId("e"), verdict, world.time.now());
+    fixture.loads.begin(BackendId("e"), 0);
+    fixture.loads.end(BackendId("e"), verdict, fixture.time.now());
   }
-  world.time.run_until(world.time.now() + 10ms);
-  world.announcer.note_change(BackendId("e"));
-  world.time.run_until(world.time.now() + 10ms);
-  REQUIRE(world.sent.size() == 2);
-  CHECK(world.sent[0].engines[0].ended == 2);
-  CHECK(world.sent[0].engines[0].failed == 1);
-  CHECK(world.sent[1].engines[0].ended == 0);
+  fixture.time.run_until(fixture.time.now() + 10ms);
+  fixture.announcer.note_change(BackendId("e"));
+  fixture.time.run_until(fixture.time.now() + 10ms);
+  REQUIRE(fixture.sent.size() == 2);
+  CHECK(fixture.sent[0].engines[0].ended == 2);
+  CHECK(fixture.sent[0].engines[0].failed == 1);
+  CHECK(fixture.sent[1].engines[0].ended == 0);
 }
 
-TEST_CASE("a node that starts is told all parts, in datagrams that others can take") {
-  AnnouncingNode world;
+TEST_CASE("a node that starts is sent all cached parts, in datagrams of valid size") {
+  AnnouncingNode fixture;
   for (const char* engine : {"e1", "e2", "e3"}) {
     std::vector<std::uint64_t> keys;
     for (std::uint64_t key = 0; key != 700; ++key) {
       keys.push_back(~key);
     }
-    world.loads.note_parts(BackendId(engine), keys, world.time.now());
+    fixture.loads.note_parts(BackendId(engine), keys, fixture.time.now());
   }
-  world.loads.begin(BackendId("e2"), 40);
-  std::map<BackendId, std::set<std::uint64_t>> told;
+  fixture.loads.begin(BackendId("e2"), 40);
+  std::map<BackendId, std::set<std::uint64_t>> received;
   std::uint64_t sequence = 0;
-  world.announcer.tell_all(world.loads, world.time.now() + 1s, [&](const WorkReport& report) {
-    CHECK(wire::encode(report).size() < 8192);
-    CHECK(report.sequence > sequence);
-    sequence = report.sequence;
-    for (const EngineWork& work : report.engines) {
-      told[work.engine].insert(work.prefilled_parts.begin(), work.prefilled_parts.end());
-      CHECK(work.requests == (work.engine == BackendId("e2") ? 1 : 0));
-    }
-  });
-  REQUIRE(told.size() == 3);
-  for (const auto& [engine, keys] : told) {
+  fixture.announcer.send_cached_parts(
+      fixture.loads, fixture.time.now() + 1s, [&](const WorkReport& report) {
+        CHECK(wire::encode(report).size() < 8192);
+        CHECK(report.sequence > sequence);
+        sequence = report.sequence;
+        for (const EngineWork& work : report.engines) {
+          received[work.engine].insert(work.prefilled_parts.begin(), work.prefilled_parts.end());
+          CHECK(work.requests == (work.engine == BackendId("e2") ? 1 : 0));
+        }
+      });
+  REQUIRE(received.size() == 3);
+  for (const auto& [engine, keys] : received) {
     CHECK(keys.size() == 700);
   }
-  // After a minute an engine is believed to keep what it read last: ten parts besides that one.
+  // After a minute an engine is assumed to have cached only its last prefills: ten parts besides
+  // the last one.
   std::size_t parts = 0;
-  world.announcer.tell_all(world.loads, world.time.now() + 60s, [&](const WorkReport& report) {
-    for (const EngineWork& work : report.engines) {
-      CHECK(work.prefilled_parts.size() <= 11);
-      parts += work.prefilled_parts.size();
-    }
-  });
+  fixture.announcer.send_cached_parts(fixture.loads, fixture.time.now() + 60s,
+                                      [&](const WorkReport& report) {
+                                        for (const EngineWork& work : report.engines) {
+                                          CHECK(work.prefilled_parts.size() <= 11);
+                                          parts += work.prefilled_parts.size();
+                                        }
+                                      });
   CHECK(parts == 33);
   std::size_t late = 0;
-  world.announcer.tell_all(world.loads, world.time.now() + 121s,
-                           [&](const WorkReport&) { ++late; });
+  fixture.announcer.send_cached_parts(fixture.loads, fixture.time.now() + 121s,
+                                      [&](const WorkReport&) { ++late; });
   CHECK(late == 0);
 }
 
-TEST_CASE("reports survive their encoding, and arbitrary bytes are refused") {
+TEST_CASE(
+    "reports survive a round trip through the codec, and arbitrary bytes do not decode to more "
+    "than their size") {
   const WorkReport report = make_report("a", 3, 2, 100);
   const auto read = wire::decode<WorkReport>(wire::encode(report));
   REQUIRE(read);
-  CHECK(read.value().engines[0].unread_tokens == 100);
+  CHECK(read.value().engines[0].pending_prefill_tokens == 100);
   CHECK(rc::check([](const std::string& bytes) {
     const auto tried = wire::decode<WorkReport>(bytes);
     if (tried) {
@@ -267,7 +274,7 @@
   }));
 }
 
-TEST_CASE("datagrams pass between sockets on loopback") {
+TEST_CASE("a datagram is delivered between two sockets on loopback") {
   http::EventLoop loop;
   std::string received;
   auto receiver = DatagramSocket::bind(loop, Endpoint("127.0.0.1:0"), [&](std::string_view bytes) {
--- a/src/quarantine/termination_detector.cc
+++ b/src/quarantine/termination_detector.cc
@@ -1,9 +1,9 @@
+#include "quarantine/termination_detector.h"
+
 #include <algorithm>
 #include <chrono>
 #include <utility>
 
-#include "quarantine/end_watch.h"
-
 namespace ochrespring::quarantine {
 
 namespace {
@@ -11,116 +11,124 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// From a break to the probe: a process that ends closes its connections and its listener one after
-/// the other.
+/// Delay from a broken connection to the probe: a terminating process closes its connections and
+/// its listener one after the other.
 constexpr Duration kProbeDelay = milliseconds(30);
-/// How long a case without an answer waits for the view: three heartbeats and a look.
-constexpr Duration kCaseLife = seconds(10);
-/// A server that accepted a probe this lately is not probed for silence: under load many requests
-/// end at their deadlines.
-constexpr Duration kAcceptedLately = seconds(1);
-/// Requests kept of one server's end.
-constexpr std::size_t kMostAttempts = 512;
+/// Time for which an unanswered probe waits for the fleet view: three heartbeats and a poll.
+constexpr Duration kInvestigationTimeout = seconds(10);
+/// For this long after an accepted probe, attempts that failed without a closed connection do not
+/// cause another one: under load many requests reach their deadlines.
+constexpr Duration kProbeSuppression = seconds(1);
+/// Attempts kept for each investigation.
+constexpr std::size_t kMaxAttempts = 512;
 
 }  // namespace
 
-EndWatch::EndWatch(const Clock& clock, TimerService& timers, const gateway::FleetState& fleet,
-                   Probe probe, Ended ended)
+TerminationDetector::TerminationDetector(const Clock& clock, TimerService& timers,
+                                         const gateway::FleetState& fleet, Probe probe,
+                                         OnTerminated on_terminated)
     : clock_(clock),
       timers_(timers),
       fleet_(fleet),
       probe_(std::move(probe)),
-      ended_(std::move(ended)) {}
+      on_terminated_(std::move(on_terminated)) {}
 
-void EndWatch::note_break(const gateway::FailedAttempt& attempt) {
-  const auto known = ended_at_.find(attempt.backend);
-  if (known != ended_at_.end()) {
-    // An attempt of later met a connection of before the end.
+void TerminationDetector::note_failed_attempt(const gateway::FailedAttempt& attempt) {
+  const auto known = terminated_at_.find(attempt.backend);
+  if (known != terminated_at_.end()) {
+    // An attempt that started after the termination failed on an older connection; not counted.
     if (attempt.started < known->second) {
-      ended_(attempt.backend, {attempt});
+      on_terminated_(attempt.backend, {attempt});
     }
     return;
   }
-  const gateway::Backend* server = fleet_.find(attempt.backend);
-  if (server == nullptr || fleet_.is_leaving(*server)) {
+  const gateway::Backend* backend = fleet_.find(attempt.backend);
+  if (backend == nullptr || fleet_.is_leaving(*backend)) {
     return;
   }
   const auto accepted = accepted_at_.find(attempt.backend);
   if (attempt.kind != gateway::AttemptFailureKind::kClosed && accepted != accepted_at_.end() &&
-      clock_.now() - accepted->second < kAcceptedLately) {
+      clock_.now() - accepted->second < kProbeSuppression) {
     return;
   }
-  std::unique_ptr<Case>& open = cases_[attempt.backend];
-  if (open == nullptr) {
-    open = std::make_unique<Case>(timers_);
-    open->address = server->address;
-    open->timer.arm(kProbeDelay, [this, id = attempt.backend] { probe(id); });
+  std::unique_ptr<Investigation>& investigation = investigations_[attempt.backend];
+  if (investigation == nullptr) {
+    investigation = std::make_unique<Investigation>(timers_);
+    investigation->address = backend->address;
+    investigation->timer.arm(kProbeDelay, [this, id = attempt.backend] { probe(id); });
   }
-  if (open->attempts.size() < kMostAttempts) {
-    open->attempts.push_back(attempt);
+  if (investigation->attempts.size() < kMaxAttempts) {
+    investigation->attempts.push_back(attempt);
   }
 }
 
-void EndWatch::probe(const gateway::BackendId& server) {
-  Case& open = *cases_.at(server);
-  open.probed = true;
-  open.timer.arm(kCaseLife, [this, server] { cases_.erase(server); });
+void TerminationDetector::probe(const gateway::BackendId& backend) {
+  Investigation& investigation = *investigations_.at(backend);
+  investigation.probed = true;
+  investigation.timer.arm(kInvestigationTimeout,
+                          [this, backend] { investigations_.erase(backend); });
   ++probes_;
-  probe_(open.address, [this, server](http::ProbeResult result) { take_result(server, result); });
+  probe_(investigation.address,
+         [this, backend](http::ProbeResult result) { handle_probe_result(backend, result); });
 }
 
-void EndWatch::take_result(const gateway::BackendId& server, http::ProbeResult result) {
-  if (!cases_.contains(server)) {
+void TerminationDetector::handle_probe_result(const gateway::BackendId& backend,
+                                              http::ProbeResult result) {
+  if (!investigations_.contains(backend)) {
     return;
   }
   switch (result) {
     case http::ProbeResult::kAccepted:
-      cases_.erase(server);
-      forget_old();
-      accepted_at_[server] = clock_.now();
+      investigations_.erase(backend);
+      drop_old_results();
+      accepted_at_[backend] = clock_.now();
       return;
     case http::ProbeResult::kRefused:
-      resolve_as_ended(server);
+      resolve_as_terminated(backend);
       return;
     case http::ProbeResult::kNoAnswer:
       return;
   }
 }
 
-void EndWatch::note_gone(const gateway::Backend& server) {
-  if (fleet_.is_leaving(server)) {
-    cases_.erase(server.id);
-  } else if (cases_.contains(server.id)) {
-    resolve_as_ended(server.id);
+void TerminationDetector::note_backend_removed(const gateway::Backend& backend) {
+  if (fleet_.is_leaving(backend)) {
+    investigations_.erase(backend.id);
+  } else if (investigations_.contains(backend.id)) {
+    resolve_as_terminated(backend.id);
   }
 }
 
-void EndWatch::resolve_as_ended(const gateway::BackendId& server) {
-  const std::unique_ptr<Case> ended = std::move(cases_.extract(server).mapped());
-  forget_old();
-  ended_at_[server] = clock_.now();
-  ended_(server, ended->attempts);
+void TerminationDetector::resolve_as_terminated(const gateway::BackendId& backend) {
+  const std::unique_ptr<Investigation> investigation =
+      std::move(investigations_.extract(backend).mapped());
+  drop_old_results();
+  terminated_at_[backend] = clock_.now();
+  on_terminated_(backend, investigation->attempts);
 }
 
-void EndWatch::forget_old() {
+void TerminationDetector::drop_old_results() {
   const MonotonicTime now = clock_.now();
-  for (auto* times : {&ended_at_, &accepted_at_}) {
-    std::erase_if(*times, [&](const auto& entry) { return now - entry.second > kCaseLife; });
+  for (auto* times : {&terminated_at_, &accepted_at_}) {
+    std::erase_if(*times,
+                  [&](const auto& entry) { return now - entry.second > kInvestigationTimeout; });
   }
 }
 
-CrashLedger::Servers EndWatch::may_have_ended(const gateway::RequestFingerprint& request) const {
-  CrashLedger::Servers servers;
-  for (const auto& [server, open] : cases_) {
-    const bool had = std::any_of(
-        open->attempts.begin(), open->attempts.end(), [&](const gateway::FailedAttempt& attempt) {
+CrashLedger::BackendIds TerminationDetector::suspected_terminations(
+    const gateway::RequestFingerprint& request) const {
+  CrashLedger::BackendIds backends;
+  for (const auto& [backend, investigation] : investigations_) {
+    const bool affected = std::any_of(
+        investigation->attempts.begin(), investigation->attempts.end(),
+        [&](const gateway::FailedAttempt& attempt) {
           return attempt.request == request && attempt.kind == gateway::AttemptFailureKind::kClosed;
         });
-    if (had) {
-      servers.insert(server);
+    if (affected) {
+      backends.insert(backend);
     }
   }
-  return servers;
+  return backends;
 }
 
 }  // namespace ochrespring::quarantine
--- a/src/quarantine/tests/termination_detector_test.cc
+++ b/src/quarantine/tests/termination_detector_test.cc
@@ -1,4 +1,6 @@
-// Which breaks of connections are taken for the end of a server.
+// Tests which broken connections are treated as the termination of a back end.
+#include "quarantine/termination_detector.h"
+
 #include <doctest/doctest.h>
 
 #include <chrono>
@@ -6,7 +8,6 @@
 #include <string>
 #include <vector>
 
-#include "quarantine/end_watch.h"
 #include "simulation/virtual_time.h"
 
 using namespace ochrespring;
@@ -15,23 +16,24 @@
 
 namespace {
 
-const gateway::BackendId kServer("i-1");
+const gateway::BackendId kBackend("i-1");
 
-struct WatchWorld {
-  WatchWorld() {
-    fleet.put(make_server(false));
+struct DetectorFixture {
+  DetectorFixture() {
+    fleet.put(make_backend(false));
     time.run_until(time.now() + 1s);
   }
-  static gateway::Backend make_server(bool draining) {
-    gateway::Backend server;
-    server.id = kServer;
-    server.address = Endpoint("s:1");
-    server.draining = draining;
-    return server;
+  static gateway::Backend make_backend(bool draining) {
+    gateway::Backend backend;
+    backend.id = kBackend;
+    backend.address = Endpoint("s:1");
+    backend.draining = draining;
+    return backend;
   }
   void note_break(gateway::AttemptFailureKind kind = gateway::AttemptFailureKind::kClosed,
                   std::uint64_t request = 1) {
-    watch.note_break({{0, request}, ServiceName("s"), kServer, time.now() - 100ms, kind});
+    detector.note_failed_attempt(
+        {{0, request}, ServiceName("s"), kBackend, time.now() - 100ms, kind});
   }
   void advance(Duration span) { time.run_until(time.now() + span); }
   void answer_probe(http::ProbeResult result) {
@@ -43,84 +45,84 @@
   simulation::VirtualTime time;
   gateway::FleetState fleet;
   std::deque<std::function<void(http::ProbeResult)>> probes;
-  std::vector<std::size_t> ended;  ///< Requests of each end.
-  EndWatch watch{time, time, fleet,
-                 [this](const Endpoint& address, auto done) {
-                   CHECK(address == Endpoint("s:1"));
-                   probes.push_back(std::move(done));
-                 },
-                 [this](const gateway::BackendId& server, const auto& attempts) {
-                   CHECK(server == kServer);
-                   ended.push_back(attempts.size());
-                 }};
+  std::vector<std::size_t> terminated;  ///< Number of attempts of each reported termination.
+  TerminationDetector detector{time, time, fleet,
+                               [this](const Endpoint& address, auto done) {
+                                 CHECK(address == Endpoint("s:1"));
+                                 probes.push_back(std::move(done));
+                               },
+                               [this](const gateway::BackendId& backend, const auto& attempts) {
+                                 CHECK(backend == kBackend);
+                                 terminated.push_back(attempts.size());
+                               }};
 };
 
 }  // namespace
 
-TEST_CASE(
-    "a server that refuses connections has ended, under all requests whose breaks were seen") {
-  WatchWorld world;
-  world.note_break(gateway::AttemptFailureKind::kClosed, 1);
-  world.note_break(gateway::AttemptFailureKind::kClosed, 2);
-  CHECK(world.probes.empty());
-  CHECK(world.watch.may_have_ended({0, 1}) == CrashLedger::Servers{kServer});
-  world.advance(50ms);
-  REQUIRE(world.probes.size() == 1);
-  world.answer_probe(http::ProbeResult::kRefused);
-  CHECK(world.ended == std::vector<std::size_t>{2});
-  CHECK(world.watch.idle());
-  // One more that broke with the others, and one that was begun after the end.
-  world.note_break(gateway::AttemptFailureKind::kClosed, 3);
-  world.advance(1s);
-  world.note_break(gateway::AttemptFailureKind::kClosed, 4);
-  CHECK(world.ended == std::vector<std::size_t>{2, 1});
-  CHECK(world.probes.empty());
+TEST_CASE("a refused probe reports the termination with all attempts that failed at the back end") {
+  DetectorFixture fixture;
+  fixture.note_break(gateway::AttemptFailureKind::kClosed, 1);
+  fixture.note_break(gateway::AttemptFailureKind::kClosed, 2);
+  CHECK(fixture.probes.empty());
+  CHECK(fixture.detector.suspected_terminations({0, 1}) == CrashLedger::BackendIds{kBackend});
+  fixture.advance(50ms);
+  REQUIRE(fixture.probes.size() == 1);
+  fixture.answer_probe(http::ProbeResult::kRefused);
+  CHECK(fixture.terminated == std::vector<std::size_t>{2});
+  CHECK(fixture.detector.idle());
+  // An attempt that failed with the others is reported; one that started after the termination is
+  // not.
+  fixture.note_break(gateway::AttemptFailureKind::kClosed, 3);
+  fixture.advance(1s);
+  fixture.note_break(gateway::AttemptFailureKind::kClosed, 4);
+  CHECK(fixture.terminated == std::vector<std::size_t>{2, 1});
+  CHECK(fixture.probes.empty());
 }
 
-TEST_CASE("a server that accepts a connection lives") {
-  WatchWorld world;
-  world.note_break();
-  world.advance(50ms);
-  world.answer_probe(http::ProbeResult::kAccepted);
-  CHECK(world.ended.empty());
-  CHECK(world.watch.idle());
-  // For a while silence is not worth another probe, a closed connection is.
-  world.note_break(gateway::AttemptFailureKind::kUnresponsive);
-  CHECK(world.watch.idle());
-  world.note_break(gateway::AttemptFailureKind::kClosed);
-  CHECK_FALSE(world.watch.idle());
+TEST_CASE("an accepted probe reports no termination") {
+  DetectorFixture fixture;
+  fixture.note_break();
+  fixture.advance(50ms);
+  fixture.answer_probe(http::ProbeResult::kAccepted);
+  CHECK(fixture.terminated.empty());
+  CHECK(fixture.detector.idle());
+  // For a while an unresponsive attempt does not cause another probe, but a closed connection does.
+  fixture.note_break(gateway::AttemptFailureKind::kUnresponsive);
+  CHECK(fixture.detector.idle());
+  fixture.note_break(gateway::AttemptFailureKind::kClosed);
+  CHECK_FALSE(fixture.detector.idle());
 }
 
-TEST_CASE("without an answer the view decides") {
-  WatchWorld world;
-  world.note_break(gateway::AttemptFailureKind::kUnresponsive);
-  CHECK(world.watch.may_have_ended({0, 1}).empty());
-  world.advance(50ms);
-  world.answer_probe(http::ProbeResult::kNoAnswer);
-  CHECK(world.ended.empty());
-  SUBCASE("its entry goes") {
-    world.advance(4s);
-    world.watch.note_gone(WatchWorld::make_server(false));
-    CHECK(world.ended == std::vector<std::size_t>{1});
+TEST_CASE("if the probe is not answered, the fleet view decides") {
+  DetectorFixture fixture;
+  fixture.note_break(gateway::AttemptFailureKind::kUnresponsive);
+  CHECK(fixture.detector.suspected_terminations({0, 1}).empty());
+  fixture.advance(50ms);
+  fixture.answer_probe(http::ProbeResult::kNoAnswer);
+  CHECK(fixture.terminated.empty());
+  SUBCASE("the back end is removed from the view") {
+    fixture.advance(4s);
+    fixture.detector.note_backend_removed(DetectorFixture::make_backend(false));
+    CHECK(fixture.terminated == std::vector<std::size_t>{1});
   }
-  SUBCASE("it had said that it leaves") {
-    world.watch.note_gone(WatchWorld::make_server(true));
-    CHECK(world.ended.empty());
+  SUBCASE("the back end is removed after announcing that it leaves") {
+    fixture.detector.note_backend_removed(DetectorFixture::make_backend(true));
+    CHECK(fixture.terminated.empty());
   }
-  SUBCASE("nothing happens") {
-    world.advance(11s);
-    CHECK(world.watch.idle());
-    world.watch.note_gone(WatchWorld::make_server(false));
-    CHECK(world.ended.empty());
+  SUBCASE("the view does not change before the timeout") {
+    fixture.advance(11s);
+    CHECK(fixture.detector.idle());
+    fixture.detector.note_backend_removed(DetectorFixture::make_backend(false));
+    CHECK(fixture.terminated.empty());
   }
 }
 
-TEST_CASE("servers that leave as planned, or have left the view, are not watched") {
-  WatchWorld world;
-  world.fleet.put(WatchWorld::make_server(true));
-  world.note_break();
-  CHECK(world.watch.idle());
-  world.fleet.remove(kServer);
-  world.note_break();
-  CHECK(world.watch.idle());
+TEST_CASE("back ends that are draining or no longer in the view are not investigated") {
+  DetectorFixture fixture;
+  fixture.fleet.put(DetectorFixture::make_backend(true));
+  fixture.note_break();
+  CHECK(fixture.detector.idle());
+  fixture.fleet.remove(kBackend);
+  fixture.note_break();
+  CHECK(fixture.detector.idle());
 }
