--- a/src/admission/admission_control.h
+++ b/src/admission/admission_control.h
@@ -53,7 +53,7 @@
   bool has_room(const gateway::BackendId& backend, MonotonicTime now) const override;
   gateway::ClaimResult claim(const gateway::BackendId& backend, gateway::SendRank rank,
                              std::function<void(bool granted)> done) override;
-  bool is_paused(const gateway::BackendId& backend, MonotonicTime now) const override {
+  bool is_backing_off(const gateway::BackendId& backend, MonotonicTime now) const override {
     return backoffs_.is_paused(backend, now);
   }
   bool may_send(const gateway::BackendId& backend, MonotonicTime now) const override;
--- a/src/admission_queue/admission_queue.cc
+++ b/src/admission_queue/admission_queue.cc
@@ -11,11 +11,11 @@
 
 namespace ochrespring::admission_queue {
 
+using gateway::DispatchResult;
 using gateway::JoinResult;
 using gateway::QueueRejection;
 using gateway::QueueRejectReason;
 using gateway::QueueRequest;
-using gateway::QueueTurn;
 using gateway::QueueWaiter;
 using std::chrono::milliseconds;
 
@@ -211,7 +211,7 @@
     }
     const Waiting waiting = found->second;
     const MonotonicTime joined = line.queue.line().joined(handle);
-    if (waiting.waiter->take_turn() == QueueTurn::kTaken) {
+    if (waiting.waiter->try_dispatch() == DispatchResult::kLeftQueue) {
       note_sent(line, handle, joined, waiting.predicted_wait);
       return true;
     }
--- a/src/admission_queue/tests/queued_request_test.cc
+++ b/src/admission_queue/tests/queued_request_test.cc
@@ -32,8 +32,8 @@
     made.queue = &queue;
     return made;
   }
-  std::shared_ptr<PlayedCaller> ask(const std::string& path, const std::string& body = "body") {
-    auto caller = std::make_shared<PlayedCaller>();
+  std::shared_ptr<FakeCaller> ask(const std::string& path, const std::string& body = "body") {
+    auto caller = std::make_shared<FakeCaller>();
     queueing.handle({"POST", path, "", {{"host", "h"}, {"x-request-id", "r"}}, body}, caller);
     return caller;
   }
@@ -87,9 +87,9 @@
 TEST_CASE("queues of many nodes do not wake at one time for one free place") {
   struct Waiter final : QueueWaiter {
     explicit Waiter(const Clock& its_clock) : clock(its_clock) {}
-    QueueTurn take_turn() override {
+    DispatchResult try_dispatch() override {
       turn = turn.value_or(clock.now());
-      return QueueTurn::kNoRoom;
+      return DispatchResult::kNoRoom;
     }
     void on_rejected(const QueueRejection& /*rejection*/) override {}
     const RequestFingerprint& queue_fingerprint() override { return fingerprint; }
@@ -229,14 +229,14 @@
   QueueingWorld world;
   world.add_backend("d", "llm", EngineRole::kDecode);
   world.add_backend("e", "llm", EngineRole::kDecode);
-  std::vector<std::shared_ptr<PlayedCaller>> callers;
+  std::vector<std::shared_ptr<FakeCaller>> callers;
   for (std::size_t i = 0; i != 16; ++i) {
     callers.push_back(world.ask("/resumable/" + std::to_string(i)));
   }
   REQUIRE(world.sends() == 16);
   const auto waiting = world.ask("/resumable/waiting");
   REQUIRE(world.queue.waiting() == 1);
-  PlayedExchange& broken = *world.transport.started.at(0);
+  FakeExchange& broken = *world.transport.started.at(0);
   broken.observer->on_head({200, {world.signature(), {"content-type", "text/event-stream"}}});
   broken.observer->on_body("id: 1\ndata: x\n\n");
   broken.fail(http::HttpErrc::kTruncated, true);
@@ -262,8 +262,8 @@
     add_backend("d", "llm", EngineRole::kDecode);
     add_backend("e", "llm", EngineRole::kDecode);
   }
-  std::shared_ptr<PlayedCaller> begin_stream(Gateway& entry) {
-    auto caller = std::make_shared<PlayedCaller>();
+  std::shared_ptr<FakeCaller> begin_stream(Gateway& entry) {
+    auto caller = std::make_shared<FakeCaller>();
     entry.handle({"POST",
                   "/resumable/x",
                   "",
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -115,9 +115,9 @@
   }
 }
 
-void Gateway::on_backend_gone(const BackendId& backend) {
+void Gateway::on_backend_unregistered(const BackendId& backend) {
   for (const auto& session : sessions_) {
-    session->on_backend_gone(backend);
+    session->on_backend_unregistered(backend);
   }
 }
 
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -39,7 +39,7 @@
   /// The request has come to be quarantined; of those running, it ends where it still waits.
   void on_quarantined(const RequestFingerprint& request);
   /// A back end is no longer registered.
-  void on_backend_gone(const BackendId& backend);
+  void on_backend_unregistered(const BackendId& backend);
   /// The process ends at `end`. A request that comes from now on and may last longer, or would have
   /// to wait for a newer configuration, is refused at once, so that its caller goes elsewhere: 1.2
   /// s into its answer it would be cut, at a node whose callers had 6 s to notice and had kept a
--- a/src/gateway/guard_reports.cc
+++ b/src/gateway/guard_reports.cc
@@ -9,10 +9,12 @@
   return *fingerprint_;
 }
 
-void GuardReports::note_break(const ServiceName& service, const Attempt& attempt, BreakKind kind) {
+void GuardReports::note_break(const ServiceName& service, const Attempt& attempt,
+                              AttemptFailureKind kind) {
   RequestGuard* guard = environment_.guard;
   // Callers that leave are many, and tell something only of a request that is suspected.
-  const bool tells = guard != nullptr && (kind != BreakKind::kAbandoned || guard->watching());
+  const bool tells =
+      guard != nullptr && (kind != AttemptFailureKind::kAbandoned || guard->watching());
   if (tells) {
     guard->note_break({fingerprint(), service, attempt.backend, attempt.started, kind});
   }
--- a/src/gateway/guard_reports.h
+++ b/src/gateway/guard_reports.h
@@ -23,7 +23,7 @@
   /// None: nobody has asked for it.
   const std::optional<RequestFingerprint>& known_fingerprint() const { return fingerprint_; }
   /// Tells what an attempt that ends without an answer may say of the request, or of the back end.
-  void note_break(const ServiceName& service, const Attempt& attempt, BreakKind kind);
+  void note_break(const ServiceName& service, const Attempt& attempt, AttemptFailureKind kind);
   void note_answer(const Attempt& attempt);
 
  private:
--- a/src/gateway/patience.cc
+++ b/src/gateway/progress_timeout.cc
@@ -1,4 +1,4 @@
-#include "gateway/patience.h"
+#include "gateway/progress_timeout.h"
 
 #include <algorithm>
 #include <chrono>
--- a/src/gateway/prompt_cache.cc
+++ b/src/gateway/prompt_cache.cc
@@ -25,7 +25,7 @@
     return;
   }
   if (environment_.gate != nullptr &&
-      environment_.gate->is_paused(handle_->engine, environment_.clock.now())) {
+      environment_.gate->is_backing_off(handle_->engine, environment_.clock.now())) {
     // It lapses by itself.
     handle_.reset();
     return;
--- a/src/gateway/request_dispatch.cc
+++ b/src/gateway/request_dispatch.cc
@@ -96,15 +96,15 @@
   }
 }
 
-QueueTurn RequestDispatch::take_turn() {
+DispatchResult RequestDispatch::try_dispatch() {
   const std::shared_ptr<RequestDispatch> self = shared_from_this();
   const std::shared_ptr<void> keep = owner_.keep_alive();
   if (owner_.time_left() < kLeastTime) {
     owner_.give_up(FailureReason::kTimeout);
-    return QueueTurn::kTaken;
+    return DispatchResult::kLeftQueue;
   }
   const bool waits = passes_guard() && place(Demand::kTurn) == Outcome::kNoRoom;
-  return waits ? QueueTurn::kNoRoom : QueueTurn::kTaken;
+  return waits ? DispatchResult::kNoRoom : DispatchResult::kLeftQueue;
 }
 
 void RequestDispatch::on_rejected(const QueueRejection& rejection) {
@@ -183,7 +183,7 @@
 bool RequestDispatch::claim_and_start(const PlacementChoice& choice, SendKind kind) {
   ClaimResult result = ClaimResult::kGranted;
   if (environment_.gate != nullptr) {
-    const SendRank rank = kind == SendKind::kContinuation ? kBegunStreamRank : owner_.send_rank();
+    const SendRank rank = kind == SendKind::kContinuation ? kStartedStreamRank : owner_.send_rank();
     result = environment_.gate->claim(
         choice.backend->id, rank,
         [weak = weak_from_this(), claimed = ClaimedSend::of(choice, kind)](bool granted) {
--- a/src/gateway/request_dispatch.h
+++ b/src/gateway/request_dispatch.h
@@ -10,8 +10,8 @@
 #include "gateway/claimed_send.h"
 #include "gateway/environment.h"
 #include "gateway/failure_answer.h"
-#include "gateway/repeat_limit.h"
 #include "gateway/request_queue.h"
+#include "gateway/retry_limit.h"
 
 namespace ochrespring::gateway {
 
@@ -67,7 +67,7 @@
   /// When a request that surely has not run may come back. `usual`: where nothing else is known.
   Duration retry_after(FailureReason reason, Duration usual) const;
 
-  QueueTurn take_turn() override;
+  DispatchResult try_dispatch() override;
   void on_rejected(const QueueRejection& rejection) override;
   const RequestFingerprint& queue_fingerprint() override { return owner_.fingerprint(); }
 
--- a/src/gateway/request_guard.h
+++ b/src/gateway/request_guard.h
@@ -11,18 +11,18 @@
 namespace ochrespring::gateway {
 
 /// How an attempt came to its end without an answer.
-enum class BreakKind : std::uint8_t {
+enum class AttemptFailureKind : std::uint8_t {
   kClosed,     ///< The back end closed or reset the connection.
   kSilent,     ///< Nothing came for too long.
   kAbandoned,  ///< The caller left while the back end was at work.
 };
 
-struct BrokenAttempt {
+struct FailedAttempt {
   RequestFingerprint request;
   ServiceName service;
   BackendId backend;
   MonotonicTime started{};
-  BreakKind kind = BreakKind::kClosed;
+  AttemptFailureKind kind = AttemptFailureKind::kClosed;
 };
 
 /// A back end has given a whole answer, whatever it says.
@@ -53,7 +53,7 @@
   /// Asks for the only send that the fleet may try now. Calls back, not inside the call.
   virtual void claim_trial(const RequestFingerprint& request,
                            std::function<void(bool granted)> done) = 0;
-  virtual void note_break(const BrokenAttempt& attempt) = 0;
+  virtual void note_break(const FailedAttempt& attempt) = 0;
   virtual void note_answer(const AnsweredAttempt& attempt) = 0;
 };
 
--- a/src/gateway/request_queue.h
+++ b/src/gateway/request_queue.h
@@ -48,7 +48,7 @@
 };
 
 /// What became of a queued request's turn.
-enum class QueueTurn : std::uint8_t {
+enum class DispatchResult : std::uint8_t {
   kTaken,   ///< Sent, or ended: its place is given up.
   kNoRoom,  ///< No back end has room for it yet; it keeps its place.
 };
@@ -58,7 +58,7 @@
  public:
   virtual ~QueueWaiter() = default;
   /// Sends the request if a back end has room. The waiter may be destroyed inside.
-  virtual QueueTurn take_turn() = 0;
+  virtual DispatchResult try_dispatch() = 0;
   /// The place is lost. The waiter may be destroyed inside.
   virtual void on_rejected(const QueueRejection& rejection) = 0;
   /// Asked for rarely: it costs a hash of the body.
--- a/src/gateway/request_session.cc
+++ b/src/gateway/request_session.cc
@@ -7,7 +7,7 @@
 #include <utility>
 
 #include "gateway/header_rules.h"
-#include "gateway/patience.h"
+#include "gateway/progress_timeout.h"
 
 namespace ochrespring::gateway {
 
@@ -416,7 +416,8 @@
   }
   log_.note_break(error, *attempt_, fingerprint().to_hex());
   const bool silent = error.code == http::HttpErrc::kTimeout;
-  reports_.note_break(service_, *attempt_, silent ? BreakKind::kSilent : BreakKind::kClosed);
+  reports_.note_break(service_, *attempt_,
+                      silent ? AttemptFailureKind::kUnresponsive : AttemptFailureKind::kClosed);
   if (silent) {
     environment_.loads.note_silence(attempt_->backend, environment_.clock.now());
   }
@@ -615,11 +616,11 @@
 void RequestSession::abandon_silent_attempt() {
   repeats_.note_send();
   may_have_run_ = true;
-  reports_.note_break(service_, *attempt_, BreakKind::kSilent);
+  reports_.note_break(service_, *attempt_, AttemptFailureKind::kUnresponsive);
   end_attempt(AttemptVerdict::kFailed);
 }
 
-void RequestSession::on_backend_gone(const BackendId& backend) {
+void RequestSession::on_backend_unregistered(const BackendId& backend) {
   // The timer of a stream that may be repeated runs already.
   if (!ended_ && !route_.repeatable() && at_work() && attempt_->backend == backend) {
     watch_progress();
@@ -644,7 +645,7 @@
 void RequestSession::abandon(FailureReason reason) {
   const std::shared_ptr<RequestSession> keep = shared_from_this();
   if (at_work()) {
-    reports_.note_break(service_, *attempt_, BreakKind::kAbandoned);
+    reports_.note_break(service_, *attempt_, AttemptFailureKind::kAbandoned);
     may_have_run_ = may_have_run_ || !attempt_->prefill;
   }
   give_up(reason);
@@ -683,7 +684,7 @@
   }
   const std::shared_ptr<RequestSession> keep = shared_from_this();
   if (at_work()) {
-    reports_.note_break(service_, *attempt_, BreakKind::kAbandoned);
+    reports_.note_break(service_, *attempt_, AttemptFailureKind::kAbandoned);
   }
   ++environment_.statistics.caller_gone;
   end_attempt(AttemptVerdict::kAbandoned);
@@ -693,7 +694,7 @@
 void RequestSession::on_deadline() {
   const std::shared_ptr<RequestSession> keep = shared_from_this();
   if (at_work() && !attempt_->prompt_read) {
-    reports_.note_break(service_, *attempt_, BreakKind::kSilent);
+    reports_.note_break(service_, *attempt_, AttemptFailureKind::kUnresponsive);
   }
   may_have_run_ = may_have_run_ || (at_work() && !attempt_->prefill);
   note("deadline", "");
--- a/src/gateway/request_session.h
+++ b/src/gateway/request_session.h
@@ -17,10 +17,10 @@
 #include "gateway/guard_reports.h"
 #include "gateway/prompt.h"
 #include "gateway/prompt_cache.h"
-#include "gateway/repeat_limit.h"
 #include "gateway/request_dispatch.h"
 #include "gateway/request_fingerprint.h"
 #include "gateway/request_log.h"
+#include "gateway/retry_limit.h"
 #include "gateway/route_table.h"
 #include "gateway/stream_backup.h"
 #include "gateway/stream_timing.h"
@@ -66,7 +66,7 @@
   /// The request has come to be quarantined: where no back end has begun to answer, it ends.
   void on_quarantined(const RequestFingerprint& request);
   /// A back end is no longer registered. A stream that it is still sending goes on.
-  void on_backend_gone(const BackendId& backend);
+  void on_backend_unregistered(const BackendId& backend);
   /// The process ends: so does the request, with what is known of it.
   void on_stop();
 
@@ -82,7 +82,7 @@
   std::uint32_t sends() const override { return repeats_.sends(); }
   bool may_claim_trial() const override { return repeats_.sends() == 0 && !read_apart_; }
   SendRank send_rank() const override {
-    return is_begun() ? kBegunStreamRank : kBegunStreamRank + 1 + priority();
+    return is_begun() ? kStartedStreamRank : kStartedStreamRank + 1 + priority();
   }
   void note_denied(const BackendId& backend) override { log_.note_denied(backend); }
   void start_attempt(const PlacementChoice& choice, SendKind kind) override;
--- a/src/gateway/repeat_limit.cc
+++ b/src/gateway/retry_limit.cc
@@ -1,4 +1,4 @@
-#include "gateway/repeat_limit.h"
+#include "gateway/retry_limit.h"
 
 namespace ochrespring::gateway {
 
--- a/src/gateway/send_gate.h
+++ b/src/gateway/send_gate.h
@@ -13,7 +13,7 @@
 
 /// Order in which requests get what limited back ends take; 0 is the first.
 using SendRank = std::uint32_t;
-inline constexpr SendRank kBegunStreamRank = 0;
+inline constexpr SendRank kStartedStreamRank = 0;
 
 /// A whole head of a back end's answer that is its own: not misdirected.
 struct BackendAnswer {
--- a/src/gateway/tests/backed_off_request_test.cc
+++ b/src/gateway/tests/backed_off_request_test.cc
@@ -4,7 +4,7 @@
 #include <chrono>
 #include <string>
 
-#include "tests/played_gate.h"
+#include "tests/fake_gate.h"
 
 using namespace ochrespring;
 using namespace ochrespring::gateway;
--- a/src/gateway/tests/caller_keys_test.cc
+++ b/src/gateway/tests/caller_keys_test.cc
@@ -66,7 +66,7 @@
   std::map<std::string, int> runs;
   Gateway counting(world.counting_into(runs), [](auto done) { done(true); });
   world.add_backend("b2", "relay");
-  auto caller = std::make_shared<testing::PlayedCaller>();
+  auto caller = std::make_shared<testing::FakeCaller>();
   counting.handle({"POST", "/idempotent/x", "", {{"host", "h"}, {"authorization", "Token k1"}}, ""},
                   caller);
   world.last().observer->on_head({200, {world.signature()}});
@@ -90,7 +90,7 @@
     KeyedFixture world;
     std::map<std::string, int> runs;
     Gateway counting(world.counting_into(runs), [](auto done) { done(true); });
-    auto caller = std::make_shared<testing::PlayedCaller>();
+    auto caller = std::make_shared<testing::FakeCaller>();
     counting.handle({"POST", "/once/x", "", {{"host", "h"}, {"authorization", "Token k1"}}, ""},
                     caller);
     world.last().fail(row.code, true);
--- a/src/gateway/tests/engine_observer_test.cc
+++ b/src/gateway/tests/engine_observer_test.cc
@@ -59,10 +59,10 @@
     made.observer = &seen;
     return made;
   }
-  std::shared_ptr<PlayedCaller> ask(const std::string& path,
-                                    std::vector<http::Header> headers = kPrompt) {
+  std::shared_ptr<FakeCaller> ask(const std::string& path,
+                                  std::vector<http::Header> headers = kPrompt) {
     headers.push_back({"host", "h"});
-    auto caller = std::make_shared<PlayedCaller>();
+    auto caller = std::make_shared<FakeCaller>();
     observed.handle({"POST", path, "", std::move(headers), "body"}, caller);
     return caller;
   }
--- a/src/gateway/tests/played_gate.h
+++ b/src/gateway/tests/fake_gate.h
@@ -16,7 +16,7 @@
 
 namespace ochrespring::gateway::testing {
 
-class PlayedGate final : public SendGate {
+class FakeGate final : public SendGate {
  public:
   bool has_room(const BackendId& backend, MonotonicTime /*now*/) const override {
     return !full.contains(backend);
@@ -79,15 +79,15 @@
       add_backend(id, "relay");
     }
   }
-  std::shared_ptr<PlayedCaller> request(const std::string& path,
-                                        std::vector<http::Header> headers = {}) {
+  std::shared_ptr<FakeCaller> request(const std::string& path,
+                                      std::vector<http::Header> headers = {}) {
     headers.push_back({"host", "h"});
-    auto caller = std::make_shared<PlayedCaller>();
+    auto caller = std::make_shared<FakeCaller>();
     gated.handle({"POST", path, "", std::move(headers), "body"}, caller);
     return caller;
   }
 
-  PlayedGate gate;
+  FakeGate gate;
   Gateway gated{environment_with(nullptr, &gate), [](auto done) { done(true); }};
 };
 
--- a/src/gateway/tests/gateway_fixture.h
+++ b/src/gateway/tests/gateway_fixture.h
@@ -19,7 +19,7 @@
 namespace ochrespring::gateway::testing {
 
 /// One exchange that the gateway has started. The test answers through `observer` while `open`.
-struct PlayedExchange {
+struct FakeExchange {
   http::ClientRequest request;
   http::ResponseObserver* observer = nullptr;
   bool open = true;
@@ -43,11 +43,11 @@
   }
 };
 
-class PlayedTransport final : public BackendTransport {
+class FakeTransport final : public BackendTransport {
  public:
   std::unique_ptr<http::Exchange> start(http::ClientRequest request,
                                         http::ResponseObserver& observer) override {
-    started.push_back(std::make_shared<PlayedExchange>());
+    started.push_back(std::make_shared<FakeExchange>());
     started.back()->request = std::move(request);
     started.back()->observer = &observer;
     return std::make_unique<Handle>(started.back());
@@ -59,24 +59,24 @@
     forgotten.push_back(std::move(request));
   }
 
-  std::deque<std::shared_ptr<PlayedExchange>> started;
+  std::deque<std::shared_ptr<FakeExchange>> started;
   std::vector<http::ClientRequest> forgotten;
   std::set<std::string> connected;  ///< Endpoints with an idle connection.
 
  private:
   class Handle final : public http::Exchange {
    public:
-    explicit Handle(std::shared_ptr<PlayedExchange> exchange) : exchange_(std::move(exchange)) {}
+    explicit Handle(std::shared_ptr<FakeExchange> exchange) : exchange_(std::move(exchange)) {}
     ~Handle() override { exchange_->open = false; }
     void set_reading(bool /*reading*/) override {}
 
    private:
-    std::shared_ptr<PlayedExchange> exchange_;
+    std::shared_ptr<FakeExchange> exchange_;
   };
 };
 
 /// What a caller has received.
-class PlayedCaller final : public http::ResponseWriter {
+class FakeCaller final : public http::ResponseWriter {
  public:
   void send_head(const http::ResponseHead& received) override { head = received; }
   void send_body(std::string_view bytes) override { body.append(bytes); }
@@ -110,7 +110,7 @@
 };
 
 /// Engines' calls in a form of the test's own.
-class PlayedEngineCalls final : public EngineCalls {
+class FakeEngineCalls final : public EngineCalls {
  public:
   std::optional<std::string> read_cache_handle(std::string_view body) const override {
     return body.starts_with("handle=") ? std::optional(std::string(body.substr(7))) : std::nullopt;
@@ -153,14 +153,14 @@
 struct GatewayFixture {
   simulation::VirtualTime time;
   SeededRandom random{7};
-  PlayedTransport transport;
+  FakeTransport transport;
   FleetState fleet;
   LoadTable loads;
   Placement placement{fleet, loads, random, ZoneName("a")};
   RetryBudget budget{{1.0, 1000, std::chrono::seconds(10)}};
   SharePicker shares{random};
   HeaderNames names;
-  PlayedEngineCalls engines;
+  FakeEngineCalls engines;
   GatewayStatistics statistics;
   EndLogger logger;
   bool store_answers = true;
@@ -226,17 +226,17 @@
     fleet.put(backend);
   }
 
-  std::shared_ptr<PlayedCaller> send(const std::string& path,
-                                     std::vector<http::Header> headers = {}) {
+  std::shared_ptr<FakeCaller> send(const std::string& path,
+                                   std::vector<http::Header> headers = {}) {
     headers.push_back({"host", "h"});
     headers.push_back({"x-request-id", "r1"});
-    auto caller = std::make_shared<PlayedCaller>();
+    auto caller = std::make_shared<FakeCaller>();
     gateway.handle({"POST", path, "", std::move(headers), "body"}, caller);
     return caller;
   }
 
   /// The newest exchange.
-  PlayedExchange& last() { return *transport.started.back(); }
+  FakeExchange& last() { return *transport.started.back(); }
   std::size_t sends() const { return transport.started.size(); }
   http::Header signature() const { return {names.signature, "sig"}; }
   void advance(Duration span) { time.run_until(time.now() + span); }
--- a/src/gateway/tests/policies_test.cc
+++ b/src/gateway/tests/policies_test.cc
@@ -277,7 +277,7 @@
   simulation::VirtualTime time;
   FleetState fleet;
   LoadTable loads;
-  gateway::testing::PlayedEngineCalls engines;
+  gateway::testing::FakeEngineCalls engines;
   std::vector<http::ClientRequest> asked;
   CacheSurvey survey(time, engines, fleet, loads,
                      [&](const BackendId&, http::ClientRequest request, const auto& done) {
@@ -411,7 +411,7 @@
   for (int i = 0; i != 40; ++i) {
     fleet.put(make_engine("e" + std::to_string(i), EngineRole::kDecode));
   }
-  gateway::testing::PlayedEngineCalls engines;
+  gateway::testing::FakeEngineCalls engines;
   const std::vector<NodeId> nodes{NodeId("n1"), NodeId("n2"), NodeId("n3")};
   std::size_t asked = 0;
   std::size_t announced = 0;
--- a/src/gateway/tests/rate_limited_request_test.cc
+++ b/src/gateway/tests/rate_limited_request_test.cc
@@ -3,7 +3,7 @@
 
 #include <chrono>
 
-#include "tests/played_gate.h"
+#include "tests/fake_gate.h"
 
 using namespace ochrespring;
 using namespace ochrespring::gateway;
@@ -87,8 +87,8 @@
   request("/once/x");
   request("/resumable/x", {{names.last_event, "3"}});
   REQUIRE(gate.ranks.size() == 2);
-  CHECK(gate.ranks[0] > kBegunStreamRank);
-  CHECK(gate.ranks[1] == kBegunStreamRank);
+  CHECK(gate.ranks[0] > kStartedStreamRank);
+  CHECK(gate.ranks[1] == kStartedStreamRank);
 }
 
 TEST_CASE_FIXTURE(GatedFixture, "reading a prompt apart needs a permit, too") {
--- a/src/gateway/tests/request_guard_test.cc
+++ b/src/gateway/tests/request_guard_test.cc
@@ -17,7 +17,7 @@
 namespace {
 
 /// A guard that says what the test wants.
-class PlayedGuard final : public RequestGuard {
+class FakeGuard final : public RequestGuard {
  public:
   bool watching() const override { return watches; }
   SendVerdict judge(const RequestFingerprint& /*request*/) override {
@@ -29,14 +29,14 @@
   void claim_trial(const RequestFingerprint& /*request*/, std::function<void(bool)> done) override {
     claims.push_back(std::move(done));
   }
-  void note_break(const BrokenAttempt& attempt) override { breaks.push_back(attempt); }
+  void note_break(const FailedAttempt& attempt) override { breaks.push_back(attempt); }
   void note_answer(const AnsweredAttempt& attempt) override { answers.push_back(attempt); }
 
   bool watches = true;
   SendVerdict verdict = SendVerdict::kAllowed;
   int judged = 0;
   std::vector<std::function<void(bool)>> claims;
-  std::vector<BrokenAttempt> breaks;
+  std::vector<FailedAttempt> breaks;
   std::vector<AnsweredAttempt> answers;
 };
 
@@ -54,11 +54,11 @@
     return fingerprint_of({"POST", path, "", {{"host", "h"}}, "body"}, "");
   }
 
-  PlayedGuard guard;
+  FakeGuard guard;
   Gateway guarded{environment_with(&guard, nullptr), [](auto done) { done(true); }};
 
-  std::shared_ptr<gateway::testing::PlayedCaller> ask(const std::string& path) {
-    auto caller = std::make_shared<gateway::testing::PlayedCaller>();
+  std::shared_ptr<gateway::testing::FakeCaller> ask(const std::string& path) {
+    auto caller = std::make_shared<gateway::testing::FakeCaller>();
     guarded.handle({"POST", path, "", {{"host", "h"}, {"x-request-id", "r1"}}, "body"}, caller);
     return caller;
   }
@@ -126,10 +126,10 @@
   world.last().fail(http::HttpErrc::kConnect, false);  // Not sent: nothing to tell.
   world.last().answer(200, {world.signature()}, "ok");
   REQUIRE(world.guard.breaks.size() == 3);
-  CHECK(world.guard.breaks[0].kind == BreakKind::kClosed);
+  CHECK(world.guard.breaks[0].kind == AttemptFailureKind::kClosed);
   CHECK(world.guard.breaks[0].request == GuardedFixture::print_of("/once/x"));
-  CHECK(world.guard.breaks[1].kind == BreakKind::kSilent);
-  CHECK(world.guard.breaks[2].kind == BreakKind::kAbandoned);
+  CHECK(world.guard.breaks[1].kind == AttemptFailureKind::kUnresponsive);
+  CHECK(world.guard.breaks[2].kind == AttemptFailureKind::kAbandoned);
   CHECK(world.guard.answers.size() == 1);
 }
 
@@ -205,7 +205,7 @@
                    {},
                    &world.guard},
                   [&](auto done) { refreshed = std::move(done); }};
-  const auto caller = std::make_shared<gateway::testing::PlayedCaller>();
+  const auto caller = std::make_shared<gateway::testing::FakeCaller>();
   gateway.handle({"POST", "/newer/1", "", {{"host", "h"}, {"x-request-id", "r1"}}, "body"}, caller);
   gateway.on_quarantined(GuardedFixture::print_of("/newer/1"));
   CHECK(gateway.held().at_configuration == 1);
--- a/src/gateway/tests/request_session_test.cc
+++ b/src/gateway/tests/request_session_test.cc
@@ -424,7 +424,7 @@
     Environment made = environment();
     made.node_count = [nodes] { return nodes; };
     Gateway one_of_many(std::move(made), [](auto done) { done(true); });
-    auto caller = std::make_shared<testing::PlayedCaller>();
+    auto caller = std::make_shared<testing::FakeCaller>();
     one_of_many.handle({"POST", "/once/x", "", {{"host", "h"}}, "body"}, caller);
     CHECK(last().request.most_idle * nodes <= 100);
     last().answer(200, {signature()}, "ok");
--- a/src/gateway/tests/continued_stream_test.cc
+++ b/src/gateway/tests/resumed_stream_test.cc
@@ -5,15 +5,15 @@
 #include <string>
 #include <vector>
 
-#include "tests/played_gate.h"
+#include "tests/fake_gate.h"
 
 using namespace ochrespring;
 using namespace ochrespring::gateway;
 using namespace std::chrono_literals;
+using gateway::testing::FakeCaller;
+using gateway::testing::FakeExchange;
+using gateway::testing::FakeGate;
 using gateway::testing::GatewayFixture;
-using gateway::testing::PlayedCaller;
-using gateway::testing::PlayedExchange;
-using gateway::testing::PlayedGate;
 using http::HttpErrc;
 
 namespace {
@@ -27,22 +27,22 @@
   void claim_trial(const RequestFingerprint& /*request*/, std::function<void(bool)> done) override {
     trial = std::move(done);
   }
-  void note_break(const BrokenAttempt& attempt) override { kinds.push_back(attempt.kind); }
+  void note_break(const FailedAttempt& attempt) override { kinds.push_back(attempt.kind); }
   void note_answer(const AnsweredAttempt& /*attempt*/) override {}
 
   SendVerdict verdict = SendVerdict::kAllowed;
   std::function<void(bool)> trial;
-  std::vector<BreakKind> kinds;
+  std::vector<AttemptFailureKind> kinds;
 };
 
 /// Engines `e1` to `e4` that replicate; `/stream/` may not be repeated, `/resumable/` once,
 /// `/thrice/` twice, and `/last/` might, but for its attempts.
 struct BackupWorld : GatewayFixture {
   SwitchedGuard guard;
-  PlayedGate gate;
+  FakeGate gate;
   Gateway served{environment_with(&guard, &gate), [](auto done) { done(true); }};
-  std::shared_ptr<PlayedExchange> run;  ///< Of the last stream that was begun.
-  std::string backup;                   ///< Its backup engine.
+  std::shared_ptr<FakeExchange> run;  ///< Of the last stream that was begun.
+  std::string backup;                 ///< Its backup engine.
 
   BackupWorld() {
     Configuration configuration = make_configuration(2);
@@ -55,20 +55,20 @@
       add_backend(id, "llm", EngineRole::kDecode);
     }
   }
-  std::shared_ptr<PlayedCaller> ask(const std::string& path, const char* counts = "200,6000",
-                                    std::vector<http::Header> headers = {}) {
+  std::shared_ptr<FakeCaller> ask(const std::string& path, const char* counts = "200,6000",
+                                  std::vector<http::Header> headers = {}) {
     headers.insert(headers.end(), {{"host", "h"},
                                    {"x-request-id", "r1"},
                                    {names.prompt_parts, "aa:100,bb:100"},
                                    {names.token_counts, counts}});
-    auto caller = std::make_shared<PlayedCaller>();
+    auto caller = std::make_shared<FakeCaller>();
     served.handle({"POST", path, "", std::move(headers), "body"}, caller);
     run = transport.started.empty() ? nullptr : transport.started.back();
     backup = run ? run->header(names.cache_backup) : "";
     return caller;
   }
   /// A stream of which one event and half of the next have come.
-  std::shared_ptr<PlayedCaller> begin(const std::string& path) {
+  std::shared_ptr<FakeCaller> begin(const std::string& path) {
     auto caller = ask(path);
     REQUIRE_FALSE(backup.empty());
     run->observer->on_head({200, {signature()}});
@@ -213,7 +213,7 @@
   }
   SUBCASE("gone, but still sending") {
     fleet.remove(runner_id());
-    served.on_backend_gone(runner_id());
+    served.on_backend_unregistered(runner_id());
     for (const char* rest : {"ta: b\n\n", "id: 3\ndata: c\n\n"}) {
       advance(800ms);
       run->observer->on_body(rest);
@@ -223,7 +223,7 @@
   SUBCASE("gone, and its backup with it") {
     fleet.remove(backup_id());
     fleet.remove(runner_id());
-    served.on_backend_gone(runner_id());
+    served.on_backend_unregistered(runner_id());
     advance(1500ms);
     CHECK(run->open);
     CHECK(sends() == 1);
@@ -231,13 +231,13 @@
   SUBCASE("gone, while the caller takes nothing and reading is stopped") {
     caller->buffered = 1;
     fleet.remove(runner_id());
-    served.on_backend_gone(runner_id());
+    served.on_backend_unregistered(runner_id());
     advance(1500ms);
     CHECK(run->open);
   }
   SUBCASE("gone and silent") {
     fleet.remove(runner_id());
-    served.on_backend_gone(runner_id());
+    served.on_backend_unregistered(runner_id());
     advance(800ms);
     CHECK(run->open);
     advance(200ms);
@@ -307,7 +307,7 @@
   gate.asks = true;
   run->fail(HttpErrc::kReset, true);
   REQUIRE(gate.claims.size() == 1);
-  CHECK(gate.ranks.back() == kBegunStreamRank);
+  CHECK(gate.ranks.back() == kStartedStreamRank);
   bool granted = true;
   SUBCASE("granted") {
     gate.settle(true);
--- a/src/gateway/tests/stream_backup_test.cc
+++ b/src/gateway/tests/stream_backup_test.cc
@@ -7,20 +7,20 @@
 #include <map>
 #include <string>
 
-#include "tests/played_gate.h"
+#include "tests/fake_gate.h"
 
 using namespace ochrespring;
 using namespace ochrespring::gateway;
 using namespace std::chrono_literals;
+using ochrespring::gateway::testing::FakeGate;
 using ochrespring::gateway::testing::GatewayFixture;
-using ochrespring::gateway::testing::PlayedGate;
 
 namespace {
 
 struct BackupFixture {
   FleetState fleet;
   LoadTable loads;
-  PlayedGate gate;
+  FakeGate gate;
   std::set<BackendId> tried;
   MonotonicTime now = MonotonicTime(1h);
 
--- a/src/gateway/tests/waiting_requests_test.cc
+++ b/src/gateway/tests/waiting_requests_test.cc
@@ -26,11 +26,10 @@
   WaitingWorld() {
     waiting.on_idle([this] { ++idle; });
   }
-  std::shared_ptr<PlayedCaller> ask(const std::string& path,
-                                    std::vector<http::Header> headers = {}) {
+  std::shared_ptr<FakeCaller> ask(const std::string& path, std::vector<http::Header> headers = {}) {
     headers.push_back({"host", "h"});
     headers.push_back({"x-request-id", "r1"});
-    auto caller = std::make_shared<PlayedCaller>();
+    auto caller = std::make_shared<FakeCaller>();
     waiting.handle({"POST", path, "", std::move(headers), "body"}, caller);
     return caller;
   }
--- a/src/gateway_node/gateway_node.cc
+++ b/src/gateway_node/gateway_node.cc
@@ -143,8 +143,8 @@
       ready_(loop, server_at(settings_.ready_listen)),
       directory_(loop, server_at(settings_.directory_listen)),
       stop_(loop, {[this] { leave(); }, [this] { callers_.stop_accepting(); }, [this] { finish(); },
-                   [this] { return callers_.held(); }, [this] { gateway_.end_at(ends_at_); },
-                   [this] { end_requests(); }}) {}
+                   [this] { return callers_.held(); },
+                   [this] { gateway_.set_shutdown_time(ends_at_); }, [this] { end_requests(); }}) {}
 
 Result<void, http::HttpError> GatewayNode::start() {
   callers_.route("/",
@@ -181,7 +181,7 @@
     client_.forget(backend.address);
     quarantine_.note_gone(backend);
     rate_limiter_.forget(backend.id);
-    gateway_.on_backend_gone(backend.id);
+    gateway_.on_backend_unregistered(backend.id);
   });
   watcher_.on_current([this] {
     apply_limits();
@@ -314,7 +314,7 @@
 /// The grace is over.
 void GatewayNode::end_requests() {
   logger_.write({logging::Level::kWarning, kComponent, "requests outlast the stop", held_fields()});
-  gateway_.end_all();
+  gateway_.finish_all();
 }
 
 void GatewayNode::finish() {
--- a/src/gateway_node/node_metrics.cc
+++ b/src/gateway_node/node_metrics.cc
@@ -21,7 +21,7 @@
     {"requests_with_unknown_key", "Requests without a key that is known",
      &GatewayStatistics::unknown_key},
     {"attempts", "Attempts at back ends", &GatewayStatistics::attempts},
-    {"repeats", "Attempts from the retry budget", &GatewayStatistics::repeats},
+    {"repeats", "Attempts from the retry budget", &GatewayStatistics::retries},
     {"repeats_denied", "Attempts that the retry budget did not allow",
      &GatewayStatistics::budget_denied},
     {"cache_fetches", "Attempts told to fetch cached parts", &GatewayStatistics::cache_fetches},
--- a/src/gateway_node/tests/crash_fleet.h
+++ b/src/gateway_node/tests/crash_fleet.h
@@ -160,7 +160,7 @@
   gateway::RetryBudget budget{{0.2, 52, 10s}};
   gateway::SharePicker shares;
   gateway::HeaderNames names;
-  gateway::testing::PlayedEngineCalls engines;
+  gateway::testing::FakeEngineCalls engines;
   gateway::GatewayStatistics statistics;
   FleetTransport transport;
   shared_store::testing::MemoryStore store;
@@ -250,9 +250,9 @@
     await(ask(node, path, body), std::move(done));
   }
   /// One request of a caller at a node.
-  std::shared_ptr<gateway::testing::PlayedCaller> ask(std::size_t node, const std::string& path,
-                                                      const std::string& body) {
-    auto caller = std::make_shared<gateway::testing::PlayedCaller>();
+  std::shared_ptr<gateway::testing::FakeCaller> ask(std::size_t node, const std::string& path,
+                                                    const std::string& body) {
+    auto caller = std::make_shared<gateway::testing::FakeCaller>();
     const gateway::HeaderNames names;
     std::vector<http::Header> headers{
         {"host", "h"},
@@ -673,8 +673,7 @@
                         [this, &server, exchange, event] { stream(server, exchange, event + 1); });
   }
   /// Looks now and then whether an answer has ended.
-  void await(std::shared_ptr<gateway::testing::PlayedCaller> caller,
-             std::function<void(int)> done) {
+  void await(std::shared_ptr<gateway::testing::FakeCaller> caller, std::function<void(int)> done) {
     if (!caller->ended()) {
       time.schedule_after(20ms,
                           [this, caller = std::move(caller), done = std::move(done)]() mutable {
--- a/src/quarantine/end_watch.cc
+++ b/src/quarantine/end_watch.cc
@@ -32,7 +32,7 @@
       probe_(std::move(probe)),
       ended_(std::move(ended)) {}
 
-void EndWatch::note_break(const gateway::BrokenAttempt& attempt) {
+void EndWatch::note_break(const gateway::FailedAttempt& attempt) {
   const auto known = ended_at_.find(attempt.backend);
   if (known != ended_at_.end()) {
     // An attempt of later met a connection of before the end.
@@ -46,7 +46,7 @@
     return;
   }
   const auto accepted = accepted_at_.find(attempt.backend);
-  if (attempt.kind != gateway::BreakKind::kClosed && accepted != accepted_at_.end() &&
+  if (attempt.kind != gateway::AttemptFailureKind::kClosed && accepted != accepted_at_.end() &&
       clock_.now() - accepted->second < kAcceptedLately) {
     return;
   }
@@ -113,8 +113,8 @@
   CrashLedger::Servers servers;
   for (const auto& [server, open] : cases_) {
     const bool had = std::any_of(
-        open->attempts.begin(), open->attempts.end(), [&](const gateway::BrokenAttempt& attempt) {
-          return attempt.request == request && attempt.kind == gateway::BreakKind::kClosed;
+        open->attempts.begin(), open->attempts.end(), [&](const gateway::FailedAttempt& attempt) {
+          return attempt.request == request && attempt.kind == gateway::AttemptFailureKind::kClosed;
         });
     if (had) {
       servers.insert(server);
--- a/src/quarantine/end_watch.h
+++ b/src/quarantine/end_watch.h
@@ -27,13 +27,13 @@
       std::function<void(const Endpoint& address, std::function<void(http::ProbeResult)> done)>;
   /// A server has ended while it had these requests of this node.
   using Ended = std::function<void(const gateway::BackendId& server,
-                                   const std::vector<gateway::BrokenAttempt>& attempts)>;
+                                   const std::vector<gateway::FailedAttempt>& attempts)>;
 
   /// References outlive it.
   EndWatch(const Clock& clock, TimerService& timers, const gateway::FleetState& fleet, Probe probe,
            Ended ended);
 
-  void note_break(const gateway::BrokenAttempt& attempt);
+  void note_break(const gateway::FailedAttempt& attempt);
   /// The server's entry has gone from the view.
   void note_gone(const gateway::Backend& server);
   /// Servers that may have ended under the request: its connections were closed, and it is not yet
@@ -48,7 +48,7 @@
     explicit Case(TimerService& timers) : timer(timers) {}
 
     Endpoint address;
-    std::vector<gateway::BrokenAttempt> attempts;
+    std::vector<gateway::FailedAttempt> attempts;
     Timer timer;  ///< Until the probe, then until the case is dropped.
     bool probed = false;
   };
--- a/src/quarantine/quarantine.cc
+++ b/src/quarantine/quarantine.cc
@@ -66,7 +66,7 @@
   });
 }
 
-SendVerdict Quarantine::judge(const Request& request) {
+SendVerdict Quarantine::check(const Request& request) {
   const MonotonicTime now = world_.clock.now();
   CrashLedger::Servers ended = watch_.may_have_ended(request);
   if (!ended.empty() && has_gap()) {
@@ -111,15 +111,15 @@
       });
 }
 
-void Quarantine::note_break(const gateway::BrokenAttempt& attempt) {
+void Quarantine::note_failure(const gateway::FailedAttempt& attempt) {
   // Callers that leave are many: only of a suspect is it worth a connection to learn more.
-  if (attempt.kind != gateway::BreakKind::kAbandoned || ledger_.knows(attempt.request)) {
+  if (attempt.kind != gateway::AttemptFailureKind::kAbandoned || ledger_.knows(attempt.request)) {
     watch_.note_break(attempt);
   }
 }
 
 void Quarantine::note_ended(const gateway::BackendId& server,
-                            const std::vector<gateway::BrokenAttempt>& attempts) {
+                            const std::vector<gateway::FailedAttempt>& attempts) {
   const MonotonicTime now = world_.clock.now();
   ++counts_.ends_seen;
   world_.logger.write(
@@ -127,7 +127,7 @@
        kComponent,
        "server ended under requests",
        {{"backend", server.value()}, {"requests", static_cast<std::uint64_t>(attempts.size())}}});
-  for (const gateway::BrokenAttempt& attempt : attempts) {
+  for (const gateway::FailedAttempt& attempt : attempts) {
     const ServerEnd end{.server = server, .seen_by = options_.node};
     if (ledger_.note_end(attempt.request, attempt.service, end, now)) {
       if (has_gap()) {
@@ -146,7 +146,7 @@
 
 /// The end that was seen may be the third and be taken for the first. One end counts as known to
 /// have been before, until the request is answered.
-void Quarantine::note_forgotten_end(const gateway::BrokenAttempt& attempt) {
+void Quarantine::note_forgotten_end(const gateway::FailedAttempt& attempt) {
   const ServerEnd end{.server = kForgottenServer, .seen_by = options_.node};
   ledger_.note_end(attempt.request, attempt.service, end, world_.clock.now());
 }
--- a/src/quarantine/quarantine.h
+++ b/src/quarantine/quarantine.h
@@ -63,12 +63,12 @@
 
   Quarantine(World world, const QuarantineOptions& options, Links links);
 
-  bool watching() const override { return !ledger_.empty() || !watch_.idle(); }
-  gateway::SendVerdict judge(const gateway::RequestFingerprint& request) override;
+  bool is_active() const override { return !ledger_.empty() || !watch_.idle(); }
+  gateway::SendVerdict check(const gateway::RequestFingerprint& request) override;
   Duration retry_after(const gateway::RequestFingerprint& request) const override;
   void claim_trial(const gateway::RequestFingerprint& request,
                    std::function<void(bool granted)> done) override;
-  void note_break(const gateway::BrokenAttempt& attempt) override;
+  void note_failure(const gateway::FailedAttempt& attempt) override;
   void note_answer(const gateway::AnsweredAttempt& attempt) override;
 
   void start();
@@ -106,11 +106,11 @@
   using Request = gateway::RequestFingerprint;
 
   void note_ended(const gateway::BackendId& server,
-                  const std::vector<gateway::BrokenAttempt>& attempts);
+                  const std::vector<gateway::FailedAttempt>& attempts);
   void merge(const CrashNews& news);
   /// Whether ends may have been forgotten that count against requests of now.
   bool has_gap() const { return !horizon_.is_complete(world_.clock.now()); }
-  void note_forgotten_end(const gateway::BrokenAttempt& attempt);
+  void note_forgotten_end(const gateway::FailedAttempt& attempt);
   /// Requests that anything is held against.
   std::size_t held() const;
   void settle_horizon();
--- a/src/quarantine/tests/end_watch_test.cc
+++ b/src/quarantine/tests/end_watch_test.cc
@@ -30,7 +30,7 @@
     server.draining = draining;
     return server;
   }
-  void note_break(gateway::BreakKind kind = gateway::BreakKind::kClosed,
+  void note_break(gateway::AttemptFailureKind kind = gateway::AttemptFailureKind::kClosed,
                   std::uint64_t request = 1) {
     watch.note_break({{0, request}, ServiceName("s"), kServer, time.now() - 100ms, kind});
   }
@@ -61,8 +61,8 @@
 TEST_CASE(
     "a server that refuses connections has ended, under all requests whose breaks were seen") {
   WatchWorld world;
-  world.note_break(gateway::BreakKind::kClosed, 1);
-  world.note_break(gateway::BreakKind::kClosed, 2);
+  world.note_break(gateway::AttemptFailureKind::kClosed, 1);
+  world.note_break(gateway::AttemptFailureKind::kClosed, 2);
   CHECK(world.probes.empty());
   CHECK(world.watch.may_have_ended({0, 1}) == CrashLedger::Servers{kServer});
   world.advance(50ms);
@@ -71,9 +71,9 @@
   CHECK(world.ended == std::vector<std::size_t>{2});
   CHECK(world.watch.idle());
   // One more that broke with the others, and one that was begun after the end.
-  world.note_break(gateway::BreakKind::kClosed, 3);
+  world.note_break(gateway::AttemptFailureKind::kClosed, 3);
   world.advance(1s);
-  world.note_break(gateway::BreakKind::kClosed, 4);
+  world.note_break(gateway::AttemptFailureKind::kClosed, 4);
   CHECK(world.ended == std::vector<std::size_t>{2, 1});
   CHECK(world.probes.empty());
 }
@@ -86,15 +86,15 @@
   CHECK(world.ended.empty());
   CHECK(world.watch.idle());
   // For a while silence is not worth another probe, a closed connection is.
-  world.note_break(gateway::BreakKind::kSilent);
+  world.note_break(gateway::AttemptFailureKind::kUnresponsive);
   CHECK(world.watch.idle());
-  world.note_break(gateway::BreakKind::kClosed);
+  world.note_break(gateway::AttemptFailureKind::kClosed);
   CHECK_FALSE(world.watch.idle());
 }
 
 TEST_CASE("without an answer the view decides") {
   WatchWorld world;
-  world.note_break(gateway::BreakKind::kSilent);
+  world.note_break(gateway::AttemptFailureKind::kUnresponsive);
   CHECK(world.watch.may_have_ended({0, 1}).empty());
   world.advance(50ms);
   world.answer_probe(http::ProbeResult::kNoAnswer);
--- a/src/rate_limit/tests/permit_bucket_test.cc
+++ b/src/rate_limit/tests/permit_bucket_test.cc
@@ -42,9 +42,9 @@
 
 TEST_CASE("the last token is kept for a more urgent request that was denied of late") {
   PermitBucket bucket({2000}, at(0s));
-  CHECK_FALSE(bucket.ask(kOther, gateway::kBegunStreamRank, at(400ms)).granted);
+  CHECK_FALSE(bucket.ask(kOther, gateway::kStartedStreamRank, at(400ms)).granted);
   CHECK_FALSE(bucket.ask(kNode, 3, at(600ms)).granted);
-  CHECK(bucket.ask(kOther, gateway::kBegunStreamRank, at(700ms)).granted);
+  CHECK(bucket.ask(kOther, gateway::kStartedStreamRank, at(700ms)).granted);
   CHECK(bucket.ask(kNode, 3, at(1100ms)).granted);
 }
 
