--- a/src/admission_queue/tests/queued_request_test.cc
+++ b/src/admission_queue/tests/queued_request_test.cc
@@ -129,7 +129,7 @@
   QueueingWorld world;
   world.fill();
   const auto caller = world.ask("/once/queued");
-  caller->leave();
+  caller->disconnect();
   CHECK(world.queue.waiting() == 0);
   CHECK(world.queueing.held().total() == kRoom);
   world.end_one(0);
@@ -306,7 +306,7 @@
   CHECK(sends() == 2);
   CHECK(queue.waiting() == 2);
   CHECK_FALSE(caller->ended());
-  caller->leave();
+  caller->disconnect();
   CHECK(queue.waiting() == 1);
 }
 
--- a/src/gateway/attempt.h
+++ b/src/gateway/attempt.h
@@ -16,42 +16,43 @@
 
 namespace ochrespring::gateway {
 
-/// What is asked of a server.
+/// What an attempt asks of a back end.
 enum class SendKind : std::uint8_t {
   kRun,
-  kPrefill,       ///< Read the prompt only.
-  kContinuation,  ///< Go on with a run of another server, whose copy this one holds.
+  kPrefill,  ///< Prefill and return a cache handle.
+  kResume,   ///< Resume another engine's run, of which this one holds a copy.
 };
 
-/// Owned by its session; without a back end once it has been accounted for.
+/// State of one attempt, owned by its session. `backend` is empty once the attempt has ended.
 struct Attempt {
   BackendId backend;
   MonotonicTime started{};
   std::uint64_t unread_tokens = 0;
-  std::uint64_t tokens_ahead = 0;        ///< Of other prompts at the back end, when it was started.
-  std::optional<Endpoint> cache_source;  ///< Engine that shared parts are fetched from.
-  std::optional<Endpoint> cache_backup;  ///< Engine that the run is replicated to.
-  std::optional<RunReference> continues;  ///< The run of another server that this one goes on with.
-  bool prompt_read = false;
+  std::uint64_t tokens_ahead = 0;           ///< Of other prompts, when it started.
+  std::optional<Endpoint> cache_source;     ///< Engine to fetch shared prompt parts from.
+  std::optional<Endpoint> cache_backup;     ///< Engine to replicate the run to.
+  std::optional<RunReference> resumed_run;  ///< Run of another engine that this attempt resumes.
+  bool prefill_done = false;
   std::unique_ptr<http::Exchange> exchange;
   std::optional<http::ResponseHead> head;
-  BackendStatement statement;  ///< What the head says; nothing before it is there.
-  std::string body;            ///< Of an answer that is held back until it is whole.
+  BackendStatement statement;  ///< Read from the head; empty before the head has arrived.
+  std::string body;            ///< Body of an answer that is sent to the caller when complete.
   EventSplitter events;
-  std::unique_ptr<StreamObservation> observed;  ///< From the head of a stream on.
-  bool streams = false;                         ///< Events are passed on as they come.
-  bool prefill = false;                         ///< Only reads the prompt; cannot run the request.
-  bool uses_cache = false;                      ///< Takes the cache handle.
+  std::unique_ptr<StreamObservation> observed;  ///< Set once the first event has arrived.
+  bool streams = false;                         ///< Events are forwarded as they arrive.
+  bool prefill = false;                         ///< A prefill call, which cannot run the request.
+  bool uses_cache = false;                      ///< Uses the cache handle of a prefill engine.
 };
 
-/// Whether the back end has not read the prompt, whatever else became of the attempt.
-inline bool is_certainly_unread(AttemptVerdict verdict) {
+/// Whether an attempt with this verdict certainly did not prefill the prompt.
+inline bool is_certainly_not_prefilled(AttemptVerdict verdict) {
   return verdict == AttemptVerdict::kRefused || verdict == AttemptVerdict::kNotSent ||
          verdict == AttemptVerdict::kUnreachable;
 }
 
-/// Of a prefill call that gave no handle: an engine that turns a request away is not ill.
-inline AttemptVerdict verdict_of_failed_prefill(const BackendStatement& statement) {
+/// Verdict on a prefill call that returned no cache handle. An engine that refuses a request is not
+/// treated as failed.
+inline AttemptVerdict failed_prefill_verdict(const BackendStatement& statement) {
   if (statement.misdirected) {
     return AttemptVerdict::kReplaced;
   }
--- a/src/gateway/attempt_starter.cc
+++ b/src/gateway/attempt_starter.cc
@@ -17,7 +17,7 @@
   attempt.tokens_ahead =
       environment_.loads.own(id).unread_tokens + environment_.loads.others(id, now).unread_tokens;
   environment_.loads.begin(id, attempt.unread_tokens);
-  if (input.prompt != nullptr && !attempt.continues) {
+  if (input.prompt != nullptr && !attempt.resumed_run) {
     environment_.loads.note_prompt(id, *input.prompt, now);
   }
   ++environment_.statistics.attempts;
@@ -27,9 +27,9 @@
 void AttemptStarter::assign_caches(Attempt& attempt, const PlacementChoice& choice, SendKind kind,
                                    const AttemptInput& input) {
   GatewayStatistics& counts = environment_.statistics;
-  if (kind == SendKind::kContinuation) {
-    attempt.continues = backup_.source();
-    backup_.note_used();
+  if (kind == SendKind::kResume) {
+    attempt.resumed_run = backup_.source();
+    backup_.mark_used();
     ++counts.streams_continued;
     return;
   }
@@ -39,7 +39,7 @@
     attempt.cache_source = choice.cache_source->address;
     ++counts.cache_fetches;
   }
-  // A request that may end its server is not given a second one.
+  // A request that may crash its engine is not replicated to a second one.
   if (kind == SendKind::kRun && !input.trial) {
     attempt.cache_backup = backup_.begin_run(*choice.backend, input.tried, attempt.started);
     counts.streams_replicated += attempt.cache_backup ? 1 : 0;
@@ -74,19 +74,20 @@
   }
   call.cache_source = attempt.cache_source;
   call.cache_backup = attempt.cache_backup;
-  call.continues = attempt.continues;
-  if (call.continues) {
-    // This header tells the engine that a run is named, and not a cache handle.
-    call.resumes_after = input.last_event.value_or(0);
-  } else if (input.answer_open) {
-    call.resumes_after = input.last_event;
+  call.resumed_run = attempt.resumed_run;
+  if (call.resumed_run) {
+    // With this header the engine reads the cache source as a run, not as a cache handle.
+    call.resume_after_event = input.last_event.value_or(0);
+  } else if (input.head_sent) {
+    call.resume_after_event = input.last_event;
   }
-  call.most_idle = connection_share(input.service);
+  call.max_idle_connections = connection_share(input.service);
   return call;
 }
 
-/// This node's part of the connections that a back end takes from all callers. Where there are more
-/// nodes than connections none is kept: one for each node would be more than the back end takes.
+/// Idle connections that this node keeps: its share of those that a back end accepts from all
+/// nodes. It is 0 if there are more nodes than connections, since one per node would exceed the
+/// limit.
 std::size_t AttemptStarter::connection_share(const Service* service) const {
   const std::uint32_t all = service == nullptr ? 1 : service->most_connections;
   return all / std::max(1U, environment_.node_count());
--- a/src/gateway/attempt_starter.h
+++ b/src/gateway/attempt_starter.h
@@ -1,4 +1,4 @@
-// Begins the attempts of one request: what is sent to the server, and what is noted of it.
+// Starts the attempts of one request: builds what is sent to the back end and records the load.
 #pragma once
 
 #include <cstdint>
@@ -16,30 +16,30 @@
 
 namespace ochrespring::gateway {
 
-/// What an attempt needs to know of its request.
+/// The parts of a request that an attempt depends on.
 struct AttemptInput {
   const http::Request& request;
-  const Service* service = nullptr;  ///< Null: the configuration has none of the name.
-  const Tenant* tenant = nullptr;    ///< Null: nobody's.
-  const Prompt* prompt = nullptr;    ///< Null: an ordinary request.
-  const std::set<BackendId>& tried;  ///< Servers the request was sent to.
+  const Service* service = nullptr;  ///< Null if the configuration has no such service.
+  const Tenant* tenant = nullptr;    ///< Null for a request without a tenant.
+  const Prompt* prompt = nullptr;    ///< Null for a request that is not for an engine.
+  const std::set<BackendId>& tried;  ///< Back ends the request was sent to.
   std::uint32_t priority = 0;
-  Duration left{};
-  std::optional<std::uint64_t> last_event;  ///< The last that the caller has.
-  bool answer_open = false;                 ///< The caller has the head.
-  bool trial = false;                       ///< In quarantine, but granted one send.
+  Duration left{};                          ///< Until the deadline.
+  std::optional<std::uint64_t> last_event;  ///< Id of the last event that the caller has.
+  bool head_sent = false;                   ///< The caller has received the response head.
+  bool trial = false;                       ///< Quarantined, but granted one send.
 };
 
-/// One request's; one loop. References outlive it.
+/// Serves one request, on one event loop. The referenced objects must outlive it.
 class AttemptStarter {
  public:
   AttemptStarter(Environment& environment, const PromptCache& cache, StreamBackup& backup)
       : environment_(environment), cache_(cache), backup_(backup) {}
 
-  /// Decides what the attempt fetches, replicates and goes on with, and adds it to the server's
-  /// load. Nothing is sent yet.
+  /// Creates an attempt: decides which caches it uses, where it is replicated and which run it
+  /// resumes, and adds it to the back end's load. Sends nothing.
   Attempt make(const PlacementChoice& choice, SendKind kind, const AttemptInput& input);
-  /// Sends the request of an attempt that was made for `backend`.
+  /// Sends the request of an attempt that make() created for `backend`.
   void send(Attempt& attempt, const Backend& backend, const AttemptInput& input,
             http::ResponseObserver& observer) const;
 
--- a/src/gateway/backend_request.cc
+++ b/src/gateway/backend_request.cc
@@ -14,10 +14,12 @@
 
 using std::chrono::milliseconds;
 
-/// A back end in our own network that takes longer to accept is as good as gone.
+/// A back end in the same network that takes longer to accept a connection is treated as
+/// unreachable.
 constexpr Duration kConnectTimeout = milliseconds(400);
-/// Engines know ten priorities: three ranks of routes, each with prompts up to these sizes.
-constexpr std::uint32_t kMostRanks = 3;
+/// Engines have ten priorities: each of the three route ranks is divided by prompt size in tokens
+/// at these bounds.
+constexpr std::uint32_t kRouteRankCount = 3;
 constexpr std::array<std::uint64_t, 2> kPromptSizeBounds{3'000, 10'000};
 
 void set_header(std::vector<http::Header>& headers, const std::string& name, std::string value) {
@@ -37,7 +39,7 @@
   for (const std::uint64_t bound : kPromptSizeBounds) {
     size += unread_tokens > bound ? 1 : 0;
   }
-  const std::uint32_t rank = std::min(route_priority, kMostRanks - 1);
+  const std::uint32_t rank = std::min(route_priority, kRouteRankCount - 1);
   return rank * static_cast<std::uint32_t>(kPromptSizeBounds.size() + 1) + size;
 }
 
@@ -60,9 +62,9 @@
   if (call.prefill) {
     set_header(sent.headers, names.phase, names.phase_prefill);
   }
-  if (call.continues) {
+  if (call.resumed_run) {
     set_header(sent.headers, names.cache_source,
-               call.continues->runner.value() + "/" + call.continues->request_id);
+               call.resumed_run->runner.value() + "/" + call.resumed_run->request_id);
   } else if (call.cache) {
     set_header(sent.headers, names.cache_source,
                call.cache->address.value() + "/" + call.cache->handle);
@@ -73,13 +75,13 @@
   if (call.cache_backup) {
     set_header(sent.headers, names.cache_backup, call.cache_backup->value());
   }
-  if (call.resumes_after) {
-    set_header(sent.headers, names.last_event, std::to_string(*call.resumes_after));
+  if (call.resume_after_event) {
+    set_header(sent.headers, names.last_event, std::to_string(*call.resume_after_event));
   }
   sent.body = request.body;
   sent.timeout = call.left;
   sent.connect_timeout = std::min(kConnectTimeout, call.left);
-  sent.most_idle = call.most_idle;
+  sent.most_idle = call.max_idle_connections;
   sent.close_ends_answer = true;
   sent.echo = http::Header{names.request_id,
                            std::string(http::find_header(request.headers, names.request_id))};
--- a/src/gateway/backend_request.h
+++ b/src/gateway/backend_request.h
@@ -1,4 +1,4 @@
-// A caller's request as it goes to a back end.
+// Builds the request that is sent to a back end for a caller's request.
 #pragma once
 
 #include <cstdint>
@@ -12,14 +12,14 @@
 
 namespace ochrespring::gateway {
 
-/// Prompt cache at a prefill engine.
+/// KV cache of a prompt at a prefill engine.
 struct CacheHandle {
   BackendId engine;
   Endpoint address;
   std::string handle;
 };
 
-/// A run at one server, as the engine that holds the copy of its KV cache knows it.
+/// Identifies a run at one engine to the engine that holds the copy of its KV cache.
 struct RunReference {
   Endpoint runner;
   std::string request_id;
@@ -28,26 +28,27 @@
 /// What one attempt adds to the caller's request.
 struct BackendCall {
   const Backend* backend = nullptr;
-  Duration left{};                        ///< Of the request's time.
-  bool prefill = false;                   ///< Read the prompt only.
-  const Tenant* tenant = nullptr;         ///< Whose request it is, if anybody's.
+  Duration left{};                        ///< Time until the request's deadline.
+  bool prefill = false;                   ///< Prefill only.
+  const Tenant* tenant = nullptr;         ///< Null for a request without a tenant.
   std::optional<std::uint32_t> priority;  ///< 0 to 9, for engines.
-  std::optional<CacheHandle> cache;       ///< Taken by the runner.
-  std::optional<Endpoint> cache_source;   ///< Engine to fetch shared parts from.
+  std::optional<CacheHandle> cache;       ///< Cache that the runner loads.
+  std::optional<Endpoint> cache_source;   ///< Engine to fetch shared prompt parts from.
   std::optional<Endpoint> cache_backup;   ///< Engine to replicate the run to.
-  /// The run to go on with, behind `resumes_after`. Sent by the same header as `cache`, which is
-  /// then left out.
-  std::optional<RunReference> continues;
-  std::optional<std::uint64_t> resumes_after;  ///< The last event that the caller has.
-  std::size_t most_idle = 1;                   ///< Connections to keep while idle.
+  /// The run to resume after event `resume_after_event`. Sent in the same header as `cache`, which
+  /// is then ignored.
+  std::optional<RunReference> resumed_run;
+  std::optional<std::uint64_t> resume_after_event;  ///< Id of the last event that the caller has.
+  std::size_t max_idle_connections = 1;             ///< Idle connections to keep.
 };
 
-/// Pure. The method, path, query and body are the caller's; of the headers those that may pass.
+/// Pure function. Copies the caller's method, path, query, body and permitted headers.
 http::ClientRequest make_backend_request(const http::Request& request, const HeaderNames& names,
                                          const BackendCall& call);
 
-/// Rank of the route and size of what is to be read, as engines order their work: within a rank
-/// short prompts first, since a long one delays many and a short one few.
+/// Priority by which engines order requests: first the route's rank, then the number of tokens to
+/// prefill. Short prompts go first within a rank, since a long one delays many requests and a short
+/// one few.
 std::uint32_t engine_priority(std::uint32_t route_priority, std::uint64_t unread_tokens);
 
 }  // namespace ochrespring::gateway
--- a/src/gateway/backend_transport.h
+++ b/src/gateway/backend_transport.h
@@ -1,4 +1,4 @@
-// How the gateway reaches back ends; replaced in tests and simulation.
+// Interface through which the gateway reaches back ends; replaced in tests and in the simulation.
 #pragma once
 
 #include <memory>
@@ -11,16 +11,17 @@
 class BackendTransport {
  public:
   virtual ~BackendTransport() = default;
-  /// Starts an exchange; nothing is reported inside the call. `observer` outlives the result.
+  /// Starts an exchange. `observer` is not called from within this call and must outlive the
+  /// result.
   virtual std::unique_ptr<http::Exchange> start(http::ClientRequest request,
                                                 http::ResponseObserver& observer) = 0;
   /// Whether an exchange with the endpoint would need no new connection.
   virtual bool has_idle_connection(const Endpoint& endpoint) const = 0;
-  /// Starts a call whose outcome nobody waits for.
+  /// Sends a request and ignores its result.
   virtual void send_and_forget(http::ClientRequest request) = 0;
 };
 
-/// Over the loop's HTTP client.
+/// Uses the HTTP client of the event loop.
 class HttpBackendTransport final : public BackendTransport {
  public:
   explicit HttpBackendTransport(http::Client& client) : client_(client) {}
--- a/src/gateway/claimed_send.h
+++ b/src/gateway/claimed_send.h
@@ -1,4 +1,4 @@
-// A choice that waits for leave to be sent.
+// A placement choice that waits for its claim.
 #pragma once
 
 #include <cstdint>
@@ -9,11 +9,11 @@
 
 namespace ochrespring::gateway {
 
-/// By ids: back ends may go meanwhile.
+/// Refers to back ends by id, since they may be removed while the claim is pending.
 struct ClaimedSend {
   BackendId backend;
   std::uint64_t unread_tokens = 0;
-  BackendId cache_source;  ///< Empty: none.
+  BackendId cache_source;  ///< Empty if there is none.
   SendKind kind = SendKind::kRun;
 
   static ClaimedSend of(const PlacementChoice& choice, SendKind kind) {
--- a/src/gateway/environment.h
+++ b/src/gateway/environment.h
@@ -1,4 +1,4 @@
-// What the requests of one gateway share.
+// Services and state that the requests of one gateway share.
 #pragma once
 
 #include <cstdint>
@@ -26,7 +26,7 @@
 
 namespace ochrespring::gateway {
 
-/// References outlive the gateway; one loop.
+/// The referenced objects must outlive the gateway. Used on one event loop.
 struct Environment {
   const Clock& clock;
   TimerService& timers;
@@ -40,19 +40,20 @@
   const EngineCalls& engines;
   GatewayStatistics& statistics;
   logging::Logger& logger;
-  /// Nodes believed to take part, this one included; at least 1.
+  /// Number of nodes believed to be running, including this one; at least 1.
   std::function<std::uint32_t()> node_count;
-  /// Called when a request of a tenant is seen to have begun to run, that long ago; may be empty.
+  /// Called when a request of a tenant is found to have started to run `ago` before now. May be
+  /// empty.
   std::function<void(const TenantName& tenant, Duration ago)> note_run{};
-  RequestGuard* guard = nullptr;  ///< Null: requests that end back ends are not kept from others.
-  SendGate* gate = nullptr;       ///< Null: what back ends ask for is not kept to.
-  RequestQueue* queue = nullptr;  ///< Null: no request waits for full back ends.
-  EngineObserver* observer = nullptr;        ///< Null: nothing is learned of engines' speed.
-  const EngineProfiles* profiles = nullptr;  ///< Null: nothing is known of how fast engines work.
-  /// Whether streams that their routes let be sent anew are replicated, too.
+  RequestGuard* guard = nullptr;             ///< Null: no quarantine.
+  SendGate* gate = nullptr;                  ///< Null: rate limits and backoff are not observed.
+  RequestQueue* queue = nullptr;             ///< Null: requests do not queue for full back ends.
+  EngineObserver* observer = nullptr;        ///< Null: engine speeds are not measured.
+  const EngineProfiles* profiles = nullptr;  ///< Null: engine speeds are unknown.
+  /// Whether streams that their routes allow to be retried are replicated, too.
   bool replicates_resumable = false;
-  /// The process ends then, whatever runs; none: not before long.
-  std::optional<MonotonicTime> ends_at{};
+  /// When the process stops, even if requests are still running; none if no stop is scheduled.
+  std::optional<MonotonicTime> shutdown_time{};
 };
 
 }  // namespace ochrespring::gateway
--- a/src/gateway/event_splitter.cc
+++ b/src/gateway/event_splitter.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// End of the first blank line in `text`, or npos. Lines end with LF or CR LF.
+/// Returns the position after the first blank line in `text`, or npos. Lines end with LF or CR LF.
 std::size_t find_event_end(std::string_view text) {
   std::size_t line = 0;
   while (true) {
--- a/src/gateway/event_splitter.h
+++ b/src/gateway/event_splitter.h
@@ -1,5 +1,5 @@
-// Cuts a stream of server-sent events into whole events, so that a break never leaves half of one
-// with the caller.
+// Splits a stream of server-sent events into complete events, so that a caller never receives part
+// of an event when a stream fails.
 #pragma once
 
 #include <cstdint>
@@ -9,19 +9,19 @@
 
 namespace ochrespring::gateway {
 
-/// One whole event with its blank line.
+/// One complete event, including its terminating blank line.
 struct StreamEvent {
   std::string bytes;
-  std::optional<std::uint64_t> id;  ///< None if it has no `id` or one that is no number.
+  std::optional<std::uint64_t> id;  ///< None without an `id` or with one that is not a number.
 };
 
-/// Pure; one per attempt.
+/// Has no side effects; one per attempt.
 class EventSplitter {
  public:
   void append(std::string_view bytes) { pending_.append(bytes); }
-  /// The next whole event, or none.
+  /// Returns the next complete event, or none.
   std::optional<StreamEvent> next();
-  /// Bytes of an event that has not ended.
+  /// Bytes of an incomplete event.
   const std::string& rest() const { return pending_; }
 
  private:
--- a/src/gateway/failure_answer.cc
+++ b/src/gateway/failure_answer.cc
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// Sooner than this nothing has changed.
-constexpr Duration kLeastRetryAfter = std::chrono::milliseconds(20);
+/// An earlier retry would find the same state.
+constexpr Duration kMinRetryAfter = std::chrono::milliseconds(20);
 
 std::uint16_t status_of(FailureReason reason, bool may_have_run) {
   if (reason == FailureReason::kNoRoute) {
@@ -63,7 +63,7 @@
   answer.status = status_of(reason, may_have_run);
   answer.headers.push_back({"content-type", "application/json"});
   if (answer.status == 503) {
-    const double seconds = to_seconds(std::max(retry_after, kLeastRetryAfter));
+    const double seconds = to_seconds(std::max(retry_after, kMinRetryAfter));
     answer.headers.push_back({"retry-after", std::to_string(seconds)});
   }
   if (answer.status == 401) {
--- a/src/gateway/failure_answer.h
+++ b/src/gateway/failure_answer.h
@@ -1,4 +1,4 @@
-// The gateway's own answers to requests that end without a back end's.
+// The gateway's own answers to requests that end without an answer of a back end.
 #pragma once
 
 #include <cstdint>
@@ -11,37 +11,37 @@
 
 namespace ochrespring::gateway {
 
-/// Why a request ends without a back end's answer.
+/// Why a request ends without an answer of a back end.
 enum class FailureReason : std::uint8_t {
-  kNoConfiguration,  ///< This node knows none yet.
-  kNoRoute,          ///< The newest configuration surely has none.
-  kUnknownKey,       ///< The newest configuration surely knows no such key.
-  kNoBackend,        ///< No back end may take it.
-  kUnreachable,      ///< No connection to any.
-  kRefused,          ///< Back ends said that they did not run it.
-  kBroken,           ///< An attempt broke off; it may have run.
+  kNoConfiguration,  ///< This node has no configuration yet.
+  kNoRoute,          ///< The newest configuration has no such route.
+  kUnknownKey,       ///< The newest configuration has no such key.
+  kNoBackend,        ///< No back end can take it.
+  kUnreachable,      ///< No connection to any back end.
+  kRefused,          ///< Back ends stated that they did not run it.
+  kBroken,           ///< An attempt failed; the request may have run.
   kTimeout,
-  kQuarantined,  ///< Back ends have ended under it.
-  kRateLimited,  ///< All back ends that could take it have named gate, and have had as much.
-  kBackingOff,   ///< All back ends that could take it have asked this node for a pause.
-  kStopping,     ///< This node ends before the request may.
-  kOverloaded,   ///< All back ends are full, and none is expected to have room in time.
+  kQuarantined,  ///< Back ends have terminated while running it.
+  kRateLimited,  ///< The rate limits of all back ends that could take it are used up.
+  kBackingOff,   ///< All back ends that could take it are in a backoff period for this node.
+  kStopping,     ///< This node stops before the request may end.
+  kOverloaded,   ///< All back ends are full and none is expected to have room in time.
 };
 
 /// Name of a reason in logs and answers.
 std::string_view describe(FailureReason reason);
 
-/// A whole answer. Its status tells what is known: 404 no route; 401 no key
-/// that is known; 503, with when to come back,
-/// surely not run and never will; 502 or 504 may have run.
+/// A complete answer. Its status is 404 for an unknown route, 401 for an unknown key, 503 with
+/// Retry-After for a request that has not run and will not run, and 502 or 504 for a request that
+/// may have run.
 struct FailureAnswer {
   std::uint16_t status = 0;
   std::vector<http::Header> headers;
   std::string body;
 };
 
-/// `retry_after` counts for answers that promise not to have run; `id` is the header that names the
-/// request, without a value if the caller gave none.
+/// `retry_after` is used for answers with status 503. `id` is the request id header, with an empty
+/// value if the caller sent none.
 FailureAnswer make_failure_answer(FailureReason reason, bool may_have_run, Duration retry_after,
                                   const http::Header& id);
 
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// When to come back to a node that has no configuration yet.
+/// Retry-After of a node that has no configuration yet.
 constexpr Duration kRetryAfterStart = std::chrono::milliseconds(300);
 
 std::uint64_t& counter_of(FailureReason reason, GatewayStatistics& statistics) {
@@ -34,15 +34,16 @@
     start(admission, std::move(request), std::move(writer));
     return;
   }
-  if (environment_.ends_at) {
+  if (environment_.shutdown_time) {
     refuse(request, *writer, FailureReason::kStopping);
     return;
   }
   await_configuration(std::move(request), std::move(writer));
 }
 
-/// Only the newest configuration can tell that there is no such route or key. However many such
-/// requests come, they cost one look at the store in three quarters of the configuration's bound.
+/// Only the newest configuration proves that a route or key does not exist. All such requests
+/// together cause one poll of the shared store per three quarters of the time within which a
+/// configuration must be applied.
 void Gateway::await_configuration(http::Request request,
                                   std::shared_ptr<http::ResponseWriter> writer) {
   const std::uint64_t number = next_waiting_++;
@@ -84,7 +85,7 @@
   return {waiting_.size(), sessions_.size() - queued, queued};
 }
 
-/// By the configuration in force.
+/// Looks up the route and the key in the current configuration.
 Admission Gateway::look_up(const http::Request& request) const {
   const std::shared_ptr<const RouteTable>& routes = environment_.fleet.routes();
   if (!routes) {
@@ -121,7 +122,7 @@
   }
 }
 
-void Gateway::end_all() {
+void Gateway::finish_all() {
   for (const auto& [number, waiting] : std::exchange(waiting_, {})) {
     waiting.writer->on_closed(nullptr);
     refuse(waiting.request, *waiting.writer, FailureReason::kStopping);
@@ -131,7 +132,7 @@
   }
 }
 
-/// A copy: those that end meanwhile are taken out.
+/// Returns a copy, because sessions that end are erased from `sessions_`.
 std::vector<std::shared_ptr<RequestSession>> Gateway::running_sessions() const {
   return {sessions_.begin(), sessions_.end()};
 }
@@ -140,7 +141,7 @@
                      FailureReason reason) {
   ++counter_of(reason, environment_.statistics);
   const std::string id(http::find_header(request.headers, environment_.names.request_id));
-  // Another node serves it now.
+  // Another node can serve the request immediately.
   const Duration retry_after = reason == FailureReason::kStopping ? Duration() : kRetryAfterStart;
   FailureAnswer answer =
       make_failure_answer(reason, false, retry_after, {environment_.names.request_id, id});
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -1,4 +1,4 @@
-// The gateway of one node: takes callers' requests and sees each to its end.
+// The gateway of one node: accepts callers' requests and answers each of them.
 #pragma once
 
 #include <cstdint>
@@ -14,41 +14,42 @@
 
 namespace ochrespring::gateway {
 
-/// Brings the fleet state up to date, then calls back with whether it is the newest.
+/// Refreshes the fleet state, then reports whether it is up to date.
 using Refresh = std::function<void(std::function<void(bool current)> done)>;
 
-/// Requests that a gateway holds, by what they wait for.
+/// Number of requests that a gateway holds, by what they wait for.
 struct HeldRequests {
-  std::size_t at_configuration = 0;  ///< Whether there is a newer one.
-  std::size_t at_back_ends = 0;      ///< An answer, or the rest of one; or leave to be sent.
+  std::size_t at_configuration = 0;  ///< Wait for a newer configuration.
+  std::size_t at_back_ends = 0;      ///< Wait for a back end's answer or for permission to send.
 
-  std::size_t queued = 0;  ///< A back end that is not full.
+  std::size_t queued = 0;  ///< Wait for a back end with room.
 
   std::size_t total() const { return at_configuration + at_back_ends + queued; }
 };
 
-/// Used on one loop; outlives its requests only if destroyed after the loop has stopped.
+/// Used on one event loop. Destroy it only after the loop has stopped: sessions and callbacks refer
+/// to it.
 class Gateway {
  public:
   Gateway(Environment environment, Refresh refresh);
 
   void handle(http::Request request, std::shared_ptr<http::ResponseWriter> writer);
-  /// All that have been handed over and have no final answer yet.
+  /// Requests passed to handle() that have no final answer yet.
   HeldRequests held() const;
   std::size_t running() const { return held().total(); }
-  /// The request has come to be quarantined; of those running, it ends where it still waits.
+  /// Called when a request becomes quarantined. Ends its sessions that still wait for a back end.
   void on_quarantined(const RequestFingerprint& request);
-  /// A back end is no longer registered.
+  /// Called when a back end is no longer registered.
   void on_backend_unregistered(const BackendId& backend);
-  /// The process ends at `end`. A request that comes from now on and may last longer, or would have
-  /// to wait for a newer configuration, is refused at once, so that its caller goes elsewhere: 1.2
-  /// s into its answer it would be cut, at a node whose callers had 6 s to notice and had kept a
-  /// connection all the same.
-  void end_at(MonotonicTime end) { environment_.ends_at = end; }
-  /// The process ends now: each request that is held gets its final answer, which says whether it
-  /// may have run, where a connection that closes would leave its caller to guess.
-  void end_all();
-  /// Called whenever the last request that was held has ended.
+  /// Announces that the process stops at `end`. New requests that may last longer, or that would
+  /// wait for a newer configuration, are refused immediately, so that their callers use another
+  /// node. Without this, a request was cut off 1.2 s into its answer, because its caller had kept
+  /// using the node for the 6 s in which it could have left.
+  void set_shutdown_time(MonotonicTime end) { environment_.shutdown_time = end; }
+  /// Called when the process stops. Gives each held request a final answer that says whether it may
+  /// have run, which a closed connection would not tell the caller.
+  void finish_all();
+  /// Sets the callback for each time the last held request has ended.
   void on_idle(std::function<void()> callback) { idle_ = std::move(callback); }
 
  private:
@@ -68,7 +69,7 @@
 
   Environment environment_;
   Refresh refresh_;
-  /// Held here and not by the refresh alone: a stop has to know of them.
+  /// Requests that wait for a refresh. Kept here so that finish_all() can answer them.
   std::map<std::uint64_t, WaitingRequest> waiting_;
   std::uint64_t next_waiting_ = 0;
   std::unordered_set<std::shared_ptr<RequestSession>> sessions_;
--- a/src/gateway/guard_reports.cc
+++ b/src/gateway/guard_reports.cc
@@ -9,20 +9,20 @@
   return *fingerprint_;
 }
 
-void GuardReports::note_break(const ServiceName& service, const Attempt& attempt,
-                              AttemptFailureKind kind) {
+void GuardReports::note_failure(const ServiceName& service, const Attempt& attempt,
+                                AttemptFailureKind kind) {
   RequestGuard* guard = environment_.guard;
-  // Callers that leave are many, and tell something only of a request that is suspected.
-  const bool tells =
-      guard != nullptr && (kind != AttemptFailureKind::kAbandoned || guard->watching());
-  if (tells) {
-    guard->note_break({fingerprint(), service, attempt.backend, attempt.started, kind});
+  // Callers disconnect often, which matters only for a suspected request.
+  const bool relevant =
+      guard != nullptr && (kind != AttemptFailureKind::kAbandoned || guard->is_active());
+  if (relevant) {
+    guard->note_failure({fingerprint(), service, attempt.backend, attempt.started, kind});
   }
 }
 
 void GuardReports::note_answer(const Attempt& attempt) {
   RequestGuard* guard = environment_.guard;
-  if (guard != nullptr && guard->watching()) {
+  if (guard != nullptr && guard->is_active()) {
     guard->note_answer({fingerprint(), attempt.backend, attempt.started});
   }
 }
--- a/src/gateway/guard_reports.h
+++ b/src/gateway/guard_reports.h
@@ -1,4 +1,4 @@
-// What the guard of requests is told of one request's attempts.
+// Reports the attempts of one request to the RequestGuard.
 #pragma once
 
 #include <optional>
@@ -11,19 +11,19 @@
 
 namespace ochrespring::gateway {
 
-/// One request's; one loop. References outlive it.
+/// Serves one request, on one event loop. The referenced objects must outlive it.
 class GuardReports {
  public:
-  /// `tenant`: null if nobody's.
+  /// `tenant` is null for a request without one.
   GuardReports(Environment& environment, const http::Request& request, const Tenant* tenant)
       : environment_(environment), request_(request), tenant_(tenant) {}
 
-  /// Made when it is first asked for: most requests never need it.
+  /// Computed on first use, since most requests never need it.
   const RequestFingerprint& fingerprint();
-  /// None: nobody has asked for it.
+  /// None if fingerprint() has not been called.
   const std::optional<RequestFingerprint>& known_fingerprint() const { return fingerprint_; }
-  /// Tells what an attempt that ends without an answer may say of the request, or of the back end.
-  void note_break(const ServiceName& service, const Attempt& attempt, AttemptFailureKind kind);
+  /// Reports an attempt that ended without an answer.
+  void note_failure(const ServiceName& service, const Attempt& attempt, AttemptFailureKind kind);
   void note_answer(const Attempt& attempt);
 
  private:
--- a/src/gateway/progress_timeout.cc
+++ b/src/gateway/progress_timeout.cc
@@ -7,21 +7,21 @@
 
 namespace {
 
-constexpr int kObjectivesToWait = 3;
-constexpr Duration kLeastWait = std::chrono::milliseconds(300);
-constexpr int kHalfObjectivesToFirstEvent = 5;
-constexpr int kGapsToWait = 3;
+constexpr int kTargetLatencyFactor = 3;
+constexpr Duration kMinProgressTimeout = std::chrono::milliseconds(300);
+constexpr int kFirstEventLatencyHalves = 5;
+constexpr int kTargetGapFactor = 3;
 
 }  // namespace
 
-Duration patience_with(const Route& route, bool answer_open, Duration left) {
+Duration progress_timeout(const Route& route, bool head_sent, Duration left) {
   if (route.kind != RequestKind::kStreaming) {
-    return std::max<Duration>(kObjectivesToWait * route.target_latency, kLeastWait);
+    return std::max<Duration>(kTargetLatencyFactor * route.target_latency, kMinProgressTimeout);
   }
-  if (answer_open) {
-    return std::max<Duration>(kGapsToWait * route.target_gap, kLeastWait);
+  if (head_sent) {
+    return std::max<Duration>(kTargetGapFactor * route.target_gap, kMinProgressTimeout);
   }
-  return std::max<Duration>(kHalfObjectivesToFirstEvent * route.target_latency / 2, left / 2);
+  return std::max<Duration>(kFirstEventLatencyHalves * route.target_latency / 2, left / 2);
 }
 
 }  // namespace ochrespring::gateway
--- a/src/gateway/progress_timeout.h
+++ b/src/gateway/progress_timeout.h
@@ -1,4 +1,4 @@
-// How long a silent back end is borne before a request that may be repeated goes elsewhere.
+// How long a back end may make no progress before a retryable request is sent to another one.
 #pragma once
 
 #include "base/time.h"
@@ -6,9 +6,9 @@
 
 namespace ochrespring::gateway {
 
-/// Pure. `answer_open` tells whether the caller has the beginning of a stream; `left` is what is
-/// left of the request's time. A long prompt before the first event is work, not silence, so half
-/// of the time left is given to it.
-Duration patience_with(const Route& route, bool answer_open, Duration left);
+/// Pure function. `head_sent` says whether the caller has the start of a stream, `left` is the time
+/// until the request's deadline. A long prefill before the first event is normal, so it may take
+/// half of the time left.
+Duration progress_timeout(const Route& route, bool head_sent, Duration left);
 
 }  // namespace ochrespring::gateway
--- a/src/gateway/request_dispatch.cc
+++ b/src/gateway/request_dispatch.cc
@@ -5,8 +5,8 @@
 namespace ochrespring::gateway {
 
 void RequestDispatch::begin() {
-  if (owner_.time_left() < kLeastTime) {
-    owner_.give_up(FailureReason::kTimeout);
+  if (owner_.time_left() < kMinAttemptTime) {
+    owner_.end_with_failure(FailureReason::kTimeout);
   } else if (passes_guard()) {
     send_or_queue();
   }
@@ -19,17 +19,17 @@
 
 bool RequestDispatch::passes_guard() {
   RequestGuard* guard = environment_.guard;
-  if (guard == nullptr || !guard->watching() || trial_) {
+  if (guard == nullptr || !guard->is_active() || trial_) {
     return true;
   }
-  const SendVerdict verdict = guard->judge(owner_.fingerprint());
+  const SendVerdict verdict = guard->check(owner_.fingerprint());
   if (verdict == SendVerdict::kAllowed) {
     return true;
   }
   if (verdict == SendVerdict::kTrialDue && owner_.may_claim_trial()) {
     claim_trial(*guard);
   } else {
-    owner_.give_up(FailureReason::kQuarantined);
+    owner_.end_with_failure(FailureReason::kQuarantined);
   }
   return false;
 }
@@ -45,32 +45,33 @@
     if (granted) {
       self->begin();
     } else {
-      self->owner_.give_up(FailureReason::kQuarantined);
+      self->owner_.end_with_failure(FailureReason::kQuarantined);
     }
   });
 }
 
 void RequestDispatch::send_or_queue() {
   const RequestQueue* queue = environment_.queue;
-  if (queue == nullptr || !queue->enabled() || trial_ || admitted_at_ == owner_.sends()) {
-    place(Demand::kNothing);
+  if (queue == nullptr || !queue->enabled() || trial_ || admitted_at_send_ == owner_.sends()) {
+    choose_and_send(Requirement::kNone);
     return;
   }
   QueueRequest request = owner_.queue_request();
   if (queue->has_waiting(request.service)) {
     join_behind_others(std::move(request));
-  } else if (place(Demand::kRoom) == Outcome::kNoRoom) {
+  } else if (choose_and_send(Requirement::kRoom) == Outcome::kNoRoom) {
     join_queue(std::move(request));
   }
 }
 
-/// Where there is room, those that wait are sent first; none is rejected then.
+/// Joins the queue behind waiting requests. If a back end has room, the queue learns of it: it
+/// sends the waiting requests first and rejects none.
 void RequestDispatch::join_behind_others(QueueRequest request) {
   const MonotonicTime now = environment_.clock.now();
   const PlacementRequest wanted = owner_.placement_request();
   const PlacementPlan plan = environment_.placement.choose(wanted, now);
   if (plan.runner.backend == nullptr) {
-    owner_.give_up(reason_of_no_backend());
+    owner_.end_with_failure(no_backend_reason());
     return;
   }
   request.room_seen = fits(wanted, plan, now);
@@ -92,18 +93,19 @@
   } else if (result.rejection) {
     on_rejected(*result.rejection);
   } else {
-    place(Demand::kNothing);
+    choose_and_send(Requirement::kNone);
   }
 }
 
 DispatchResult RequestDispatch::try_dispatch() {
   const std::shared_ptr<RequestDispatch> self = shared_from_this();
   const std::shared_ptr<void> keep = owner_.keep_alive();
-  if (owner_.time_left() < kLeastTime) {
-    owner_.give_up(FailureReason::kTimeout);
+  if (owner_.time_left() < kMinAttemptTime) {
+    owner_.end_with_failure(FailureReason::kTimeout);
     return DispatchResult::kLeftQueue;
   }
-  const bool waits = passes_guard() && place(Demand::kTurn) == Outcome::kNoRoom;
+  const bool waits =
+      passes_guard() && choose_and_send(Requirement::kRoomWhileQueued) == Outcome::kNoRoom;
   return waits ? DispatchResult::kNoRoom : DispatchResult::kLeftQueue;
 }
 
@@ -111,25 +113,26 @@
   const std::shared_ptr<RequestDispatch> self = shared_from_this();
   const std::shared_ptr<void> keep = owner_.keep_alive();
   queue_retry_after_ = rejection.retry_after;
-  owner_.give_up(rejection.reason == QueueRejectReason::kStopping ? FailureReason::kStopping
-                                                                  : FailureReason::kOverloaded);
+  owner_.end_with_failure(rejection.reason == QueueRejectReason::kStopping
+                              ? FailureReason::kStopping
+                              : FailureReason::kOverloaded);
 }
 
-RequestDispatch::Outcome RequestDispatch::place(Demand demand) {
+RequestDispatch::Outcome RequestDispatch::choose_and_send(Requirement requirement) {
   const MonotonicTime now = environment_.clock.now();
   const PlacementRequest wanted = owner_.placement_request();
-  // Each denial takes a back end out of the candidates.
+  // Each denial removes a back end from the candidates, so the loop terminates.
   bool denied = true;
   while (denied) {
     const PlacementPlan plan = environment_.placement.choose(wanted, now);
     if (plan.runner.backend == nullptr) {
-      if (demand == Demand::kTurn && !forecast() && owner_.sends() == 0) {
+      if (requirement == Requirement::kRoomWhileQueued && !forecast() && owner_.sends() == 0) {
         return Outcome::kNoRoom;
       }
-      owner_.give_up(reason_of_no_backend());
+      owner_.end_with_failure(no_backend_reason());
       return Outcome::kDone;
     }
-    if (demand != Demand::kNothing && !fits(wanted, plan, now)) {
+    if (requirement != Requirement::kNone && !fits(wanted, plan, now)) {
       return Outcome::kNoRoom;
     }
     const bool prefill = plan.reader.backend != nullptr;
@@ -145,7 +148,7 @@
              : std::nullopt;
 }
 
-FailureReason RequestDispatch::reason_of_no_backend() const {
+FailureReason RequestDispatch::no_backend_reason() const {
   const auto room = forecast();
   if (!room) {
     return FailureReason::kNoBackend;
@@ -153,37 +156,38 @@
   return room->backing_off ? FailureReason::kBackingOff : FailureReason::kRateLimited;
 }
 
-bool RequestDispatch::is_closed_everywhere(bool tried_too) const {
+bool RequestDispatch::no_backend_accepts(bool include_tried) const {
   if (!forecast()) {
     return false;
   }
   PlacementRequest wanted = owner_.placement_request();
-  if (tried_too) {
+  if (include_tried) {
     wanted.avoid.clear();
   }
   return environment_.placement.choose(wanted, environment_.clock.now()).runner.backend == nullptr;
 }
 
-Duration RequestDispatch::retry_after(FailureReason reason, Duration usual) const {
+Duration RequestDispatch::retry_after(FailureReason reason, Duration fallback) const {
   if (reason == FailureReason::kQuarantined) {
     return environment_.guard->retry_after(owner_.fingerprint());
   }
   if (reason == FailureReason::kStopping) {
-    // Other nodes serve it now.
+    // Other nodes can serve the request immediately.
     return {};
   }
   if (reason == FailureReason::kOverloaded) {
-    return queue_retry_after_.value_or(usual);
+    return queue_retry_after_.value_or(fallback);
   }
   const auto room = forecast();
-  return room && is_closed_everywhere(true) ? room->wait : usual;
+  return room && no_backend_accepts(true) ? room->wait : fallback;
 }
 
-/// Sends the request once the back end's rate limit allows it. False: it does not, now.
+/// Starts the attempt as soon as the back end's rate limit allows it. Returns false if the limit
+/// denies it now.
 bool RequestDispatch::claim_and_start(const PlacementChoice& choice, SendKind kind) {
   ClaimResult result = ClaimResult::kGranted;
   if (environment_.gate != nullptr) {
-    const SendRank rank = kind == SendKind::kContinuation ? kStartedStreamRank : owner_.send_rank();
+    const SendRank rank = kind == SendKind::kResume ? kStartedStreamRank : owner_.send_rank();
     result = environment_.gate->claim(
         choice.backend->id, rank,
         [weak = weak_from_this(), claimed = ClaimedSend::of(choice, kind)](bool granted) {
@@ -197,8 +201,8 @@
     owner_.note_denied(choice.backend->id);
     return false;
   }
-  if (kind != SendKind::kContinuation) {
-    admitted_at_ = owner_.sends();
+  if (kind != SendKind::kResume) {
+    admitted_at_send_ = owner_.sends();
   }
   if (result == ClaimResult::kGranted) {
     owner_.start_attempt(choice, kind);
@@ -206,7 +210,8 @@
   return true;
 }
 
-/// What was chosen may have gone, and the request become guilty, while the claim was out.
+/// While the claim was pending, the back end may have been removed and the request quarantined, so
+/// both are checked again.
 void RequestDispatch::on_claim(const ClaimedSend& claimed, bool granted) {
   const std::shared_ptr<void> keep = owner_.keep_alive();
   const FleetState& fleet = environment_.fleet;
@@ -219,8 +224,8 @@
     owner_.dispatch_unsent(claimed.kind);
     return;
   }
-  if (owner_.time_left() < kLeastTime) {
-    owner_.give_up(FailureReason::kTimeout);
+  if (owner_.time_left() < kMinAttemptTime) {
+    owner_.end_with_failure(FailureReason::kTimeout);
   } else if (passes_guard()) {
     owner_.start_attempt({.backend = backend,
                           .unread_tokens = claimed.unread_tokens,
--- a/src/gateway/request_dispatch.h
+++ b/src/gateway/request_dispatch.h
@@ -1,5 +1,5 @@
-// From a request to its next send: the guard's leave, a place in the queue, the choice of a back
-// end and its rate limit.
+// Prepares the next send of a request: checks the quarantine, queues the request, chooses a back
+// end and claims its rate limit.
 #pragma once
 
 #include <cstdint>
@@ -15,68 +15,71 @@
 
 namespace ochrespring::gateway {
 
-/// The request that a dispatch sends on.
+/// The request that a dispatch sends.
 class DispatchOwner {
  public:
   virtual ~DispatchOwner() = default;
-  /// Keeps the owner, and with it the dispatch, while a callback runs.
+  /// Keeps the owner, and with it the dispatch, alive while a callback runs.
   virtual std::shared_ptr<void> keep_alive() = 0;
   virtual const ServiceName& service() const = 0;
   virtual PlacementRequest placement_request() const = 0;
-  /// What the queue is told, but for `room_seen` and `returned`.
+  /// The request as the queue sees it, without `room_seen` and `returned`.
   virtual QueueRequest queue_request() const = 0;
   virtual const RequestFingerprint& fingerprint() = 0;
   virtual Duration time_left() const = 0;
   virtual Duration target_latency() const = 0;
-  /// Attempts of which a byte may have left.
+  /// Number of attempts of which a byte may have been sent.
   virtual std::uint32_t sends() const = 0;
-  /// Whether a trial may be claimed: it is a request's only send.
+  /// Whether a trial may be claimed. A trial must be the request's only send.
   virtual bool may_claim_trial() const = 0;
   virtual SendRank send_rank() const = 0;
   virtual void start_attempt(const PlacementChoice& choice, SendKind kind) = 0;
-  /// After a send that did not leave: places the request anew, if it is not a continuation.
+  /// Called for a send of which no byte left. Chooses a back end again, unless it was a resume.
   virtual void dispatch_unsent(SendKind kind) = 0;
   virtual void note_denied(const BackendId& backend) = 0;
-  virtual void give_up(FailureReason reason) = 0;
+  virtual void end_with_failure(FailureReason reason) = 0;
 };
 
-/// Shared, as the guard, the gate and the queue answer later; dropped with its owner. One loop.
+/// Held by a shared pointer, because the guard, the gate and the queue call back later; released
+/// with its owner. Used on one event loop.
 class RequestDispatch final : public QueueWaiter,
                               public std::enable_shared_from_this<RequestDispatch> {
  public:
   RequestDispatch(Environment& environment, DispatchOwner& owner)
       : environment_(environment), owner_(owner) {}
 
-  /// Ends in a send, in a wait for leave or for a place, or in the end of the request.
+  /// Sends the request, queues it, waits for a claim, or ends it with a failure.
   void begin();
-  /// Whether the request may be sent on now; if not, it has ended or waits for a trial.
+  /// Whether the guard lets the request be sent now. If not, the request has ended or waits for a
+  /// trial.
   bool passes_guard();
-  /// Sends a begun run on to the engine that holds its copy, without a wait in the queue. False:
-  /// the engine's rate limit does not allow it now.
-  bool start_continuation(const PlacementChoice& choice) {
-    return claim_and_start(choice, SendKind::kContinuation);
+  /// Resumes a run at the engine that holds its copy, without queueing. Returns false if the
+  /// engine's rate limit does not allow it now.
+  bool start_resume(const PlacementChoice& choice) {
+    return claim_and_start(choice, SendKind::kResume);
   }
-  /// The request has ended: nothing is waited for any more.
+  /// Called when the request has ended. Drops all pending callbacks and the place in the queue.
   void cancel();
-  /// Whether the request is in quarantine, but granted one send.
+  /// Whether the request is quarantined but was granted one send.
   bool trial() const { return trial_; }
-  /// Whether some back ends are closed to this node, and none that is not may take the request.
-  /// `tried_too`: also none of those that it was sent to.
-  bool is_closed_everywhere(bool tried_too) const;
-  FailureReason reason_of_no_backend() const;
-  /// When a request that surely has not run may come back. `usual`: where nothing else is known.
-  Duration retry_after(FailureReason reason, Duration usual) const;
+  /// Whether rate limits or backoff close some back ends to this node and no other back end can
+  /// take the request. With `include_tried`, the back ends that it was sent to are considered, too.
+  bool no_backend_accepts(bool include_tried) const;
+  FailureReason no_backend_reason() const;
+  /// Retry-After of a request that certainly has not run. `fallback` applies if nothing better is
+  /// known.
+  Duration retry_after(FailureReason reason, Duration fallback) const;
 
   DispatchResult try_dispatch() override;
   void on_rejected(const QueueRejection& rejection) override;
   const RequestFingerprint& queue_fingerprint() override { return owner_.fingerprint(); }
 
  private:
-  /// What is asked of a back end besides that it may take the request.
-  enum class Demand : std::uint8_t {
-    kNothing,  ///< As where nothing queues.
-    kRoom,     ///< It is predicted to serve the request within its target.
-    kTurn,     ///< The same, for a queued request: it goes on waiting where there is no server.
+  /// What a back end must fulfil, besides being allowed to take the request.
+  enum class Requirement : std::uint8_t {
+    kNone,             ///< No further condition, as without a queue.
+    kRoom,             ///< It is predicted to serve the request within its target latency.
+    kRoomWhileQueued,  ///< As kRoom. If no back end is available, the request stays queued.
   };
   enum class Outcome : std::uint8_t { kDone, kNoRoom };
 
@@ -85,7 +88,7 @@
   void join_behind_others(QueueRequest request);
   bool fits(const PlacementRequest& wanted, const PlacementPlan& plan, MonotonicTime now) const;
   void join_queue(QueueRequest request);
-  Outcome place(Demand demand);
+  Outcome choose_and_send(Requirement requirement);
   bool claim_and_start(const PlacementChoice& choice, SendKind kind);
   void on_claim(const ClaimedSend& claimed, bool granted);
   std::optional<RoomForecast> forecast() const;
@@ -93,11 +96,11 @@
   Environment& environment_;
   DispatchOwner& owner_;
   std::unique_ptr<QueuePlace> place_;
-  /// Sends when the request was let through to a back end. It queues again only after another one:
-  /// a connection that fails or a denied claim costs no place. Continuations do not count: the
-  /// queue has not let them through.
-  std::optional<std::uint32_t> admitted_at_;
-  std::optional<Duration> queue_retry_after_;  ///< Of the queue that rejected the request.
+  /// Value of sends() when the request was last admitted to a back end. It queues again only after
+  /// another send, so a failed connection or a denied claim does not cost it its place. Resumes do
+  /// not count, since they bypass the queue.
+  std::optional<std::uint32_t> admitted_at_send_;
+  std::optional<Duration> queue_retry_after_;  ///< Set by the queue when it rejects the request.
   bool trial_ = false;
   bool ended_ = false;
 };
--- a/src/gateway/request_fingerprint.h
+++ b/src/gateway/request_fingerprint.h
@@ -1,5 +1,5 @@
-// What makes two requests the same, whatever their ids: callers send a request that failed again,
-// with a new id, to any node.
+// Identifies a request independently of its id, because callers resend a failed request with a new
+// id and to any node.
 #pragma once
 
 #include <compare>
@@ -12,16 +12,16 @@
 
 namespace ochrespring::gateway {
 
-/// XXH3, 128 bits, of caller, method, host, path, query and body. Neither a key nor a body can be
-/// read from it; whoever wants two requests to be taken for one can make them so, within one
-/// caller.
+/// 128-bit XXH3 hash of caller, method, host, path, query and body. Keys and bodies cannot be
+/// derived from it. It is not collision resistant: a caller can craft two requests of its own that
+/// have the same fingerprint.
 struct RequestFingerprint {
   std::uint64_t high = 0;
   std::uint64_t low = 0;
 
   auto operator<=>(const RequestFingerprint&) const = default;
 
-  /// 32 hexadecimal digits, as in logs and keys of the store.
+  /// 32 hexadecimal digits, as used in logs and in keys of the shared store.
   std::string to_hex() const;
 
   template <class Archive>
@@ -31,14 +31,16 @@
   }
 };
 
-/// `caller` names whose request it is; empty where callers are not told apart. Pure.
+/// Pure function. `caller` identifies the sender of the request; empty if callers are not
+/// distinguished.
 RequestFingerprint fingerprint_of(const http::Request& request, std::string_view caller);
 
 }  // namespace ochrespring::gateway
 
 template <>
 struct std::hash<ochrespring::gateway::RequestFingerprint> {
-  std::size_t operator()(const ochrespring::gateway::RequestFingerprint& print) const noexcept {
-    return print.low;
+  std::size_t operator()(
+      const ochrespring::gateway::RequestFingerprint& fingerprint) const noexcept {
+    return fingerprint.low;
   }
 };
--- a/src/gateway/request_guard.h
+++ b/src/gateway/request_guard.h
@@ -1,4 +1,4 @@
-// Keeps requests that end the servers that run them away from further servers.
+// Interface that keeps requests that crash back ends away from further back ends.
 #pragma once
 
 #include <cstdint>
@@ -10,11 +10,11 @@
 
 namespace ochrespring::gateway {
 
-/// How an attempt came to its end without an answer.
+/// How an attempt ended without an answer.
 enum class AttemptFailureKind : std::uint8_t {
-  kClosed,     ///< The back end closed or reset the connection.
-  kSilent,     ///< Nothing came for too long.
-  kAbandoned,  ///< The caller left while the back end was at work.
+  kClosed,        ///< The back end closed or reset the connection.
+  kUnresponsive,  ///< Nothing was received for too long.
+  kAbandoned,     ///< The caller or this node ended the request during the attempt.
 };
 
 struct FailedAttempt {
@@ -25,7 +25,7 @@
   AttemptFailureKind kind = AttemptFailureKind::kClosed;
 };
 
-/// A back end has given a whole answer, whatever it says.
+/// An attempt with a complete answer, whatever its status.
 struct AnsweredAttempt {
   RequestFingerprint request;
   BackendId backend;
@@ -35,25 +35,26 @@
 /// Whether a request may be sent to a back end now.
 enum class SendVerdict : std::uint8_t {
   kAllowed,
-  kRefused,   ///< Back ends have ended under it.
-  kTrialDue,  ///< As kRefused, but one node may try it again, with claim_trial().
+  kRefused,   ///< Back ends have terminated while running it.
+  kTrialDue,  ///< As kRefused, but one node may try it again after claim_trial().
 };
 
-/// One loop.
+/// Used on one event loop.
 class RequestGuard {
  public:
   virtual ~RequestGuard() = default;
-  /// Whether anything is held against any request. While not, no request needs a fingerprint, and
-  /// only note_break() is to be called.
-  virtual bool watching() const = 0;
-  /// To be asked before each send, also of a request that runs already.
-  virtual SendVerdict judge(const RequestFingerprint& request) = 0;
-  /// How long a refused caller is told to stay away: until the next trial may be due.
+  /// Whether any request is currently suspected. While none is, requests need no fingerprint and
+  /// only note_failure() may be called.
+  virtual bool is_active() const = 0;
+  /// Must be called before each send, including later sends of the same request.
+  virtual SendVerdict check(const RequestFingerprint& request) = 0;
+  /// Retry-After for a refused caller: the time until the next trial may be due.
   virtual Duration retry_after(const RequestFingerprint& request) const = 0;
-  /// Asks for the only send that the fleet may try now. Calls back, not inside the call.
+  /// Claims the only trial that the fleet may send now. `done` is called later, never from within
+  /// this call.
   virtual void claim_trial(const RequestFingerprint& request,
                            std::function<void(bool granted)> done) = 0;
-  virtual void note_break(const FailedAttempt& attempt) = 0;
+  virtual void note_failure(const FailedAttempt& attempt) = 0;
   virtual void note_answer(const AnsweredAttempt& attempt) = 0;
 };
 
--- a/src/gateway/request_log.cc
+++ b/src/gateway/request_log.cc
@@ -6,20 +6,20 @@
                               const Attempt* attempt) const {
   const bool fetches = attempt != nullptr && attempt->cache_source;
   const bool replicates = attempt != nullptr && attempt->cache_backup;
-  const bool continues = attempt != nullptr && attempt->continues;
+  const bool resumes = attempt != nullptr && attempt->resumed_run;
   write(message, {{"request_id", id_},
                   {"backend", attempt != nullptr ? attempt->backend.value() : ""},
                   {"detail", std::string(detail)},
                   {"unread_tokens", attempt != nullptr ? attempt->unread_tokens : 0},
                   {"cache_source", fetches ? attempt->cache_source->value() : ""},
                   {"cache_backup", replicates ? attempt->cache_backup->value() : ""},
-                  {"continued_from", continues ? attempt->continues->runner.value() : ""},
+                  {"continued_from", resumes ? attempt->resumed_run->runner.value() : ""},
                   {"age_milliseconds", age()}});
 }
 
-void RequestLog::note_break(const http::HttpError& error, const Attempt& attempt,
-                            std::string fingerprint) const {
-  write("attempt broke off",
+void RequestLog::note_failure(const http::HttpError& error, const Attempt& attempt,
+                              std::string fingerprint) const {
+  write("attempt failed",
         {{"request_id", id_},
          {"fingerprint", std::move(fingerprint)},
          {"route", route_.name.value()},
@@ -34,7 +34,7 @@
 }
 
 void RequestLog::note_denied(const BackendId& backend) const {
-  write("not sent: rate limit",
+  write("request not sent: rate limit",
         {{"request_id", id_}, {"backend", backend.value()}, {"age_milliseconds", age()}});
 }
 
--- a/src/gateway/request_log.h
+++ b/src/gateway/request_log.h
@@ -18,10 +18,10 @@
 
 namespace ochrespring::gateway {
 
-/// Each line names the request and its age. One loop.
+/// Each line contains the id and the age of the request. Used on one event loop.
 class RequestLog {
  public:
-  /// References outlive it. `tenant`: null if nobody's.
+  /// The referenced objects must outlive it. `tenant` is null for a request without one.
   RequestLog(const Clock& clock, logging::Logger& logger, const Route& route, const Tenant* tenant)
       : clock_(clock), logger_(logger), route_(route), tenant_(tenant) {}
 
@@ -29,22 +29,23 @@
     id_ = std::move(id);
     arrived_ = arrived;
   }
-  /// Something about an attempt; null: about the request before any.
+  /// Logs an event of an attempt, or of the request if `attempt` is null.
   void note_attempt(std::string_view message, std::string_view detail,
                     const Attempt* attempt) const;
-  /// An attempt broke off. With what tells the same request again, under another id and at another
-  /// node.
-  void note_break(const http::HttpError& error, const Attempt& attempt,
-                  std::string fingerprint) const;
-  /// A back end that was chosen has no room.
+  /// Logs a failed attempt with the fingerprint, which identifies the same request under another id
+  /// or at another node.
+  void note_failure(const http::HttpError& error, const Attempt& attempt,
+                    std::string fingerprint) const;
+  /// Logs that the chosen back end has no room.
   void note_denied(const BackendId& backend) const;
 
-  /// How a request has ended.
+  /// How a request ended.
   struct End {
-    std::string fingerprint;  ///< Empty: nobody needed it.
+    std::string fingerprint;  ///< Empty if it was never computed.
     std::string service;
     std::string outcome;
-    std::string not_sent_again;  ///< What stood against one more send; empty: nothing did.
+    /// Why the last attempt was not retried; empty if no retry was needed.
+    std::string not_sent_again;
     std::uint64_t attempts = 0;
     std::uint64_t configuration = 0;
     std::uint64_t most_output_tokens = 0;
--- a/src/gateway/request_queue.h
+++ b/src/gateway/request_queue.h
@@ -1,4 +1,5 @@
-// Where requests wait at this node while all back ends of their service are full.
+// Interface of the queue in which requests wait at this node while all back ends of their service
+// are full.
 #pragma once
 
 #include <cstddef>
@@ -13,32 +14,32 @@
 
 namespace ochrespring::gateway {
 
-/// A request as a queue orders it.
+/// What a queue needs to know of a request to order it.
 struct QueueRequest {
   ServiceName service;
-  RouteName route;             ///< With the priority: the request class.
-  TenantName tenant;           ///< Empty: nobody's.
+  RouteName route;             ///< Together with the priority, the request class.
+  TenantName tenant;           ///< Empty for a request without a tenant.
   std::uint32_t priority = 0;  ///< 0 is the most urgent.
-  bool begun = false;          ///< The caller has the beginning of the stream.
-  bool sent_before = false;    ///< A rejection could not promise that the request has not run.
-  bool returned = false;       ///< Came back when it was told to.
-  bool room_seen = false;      ///< Some back end has room now; never rejected.
-  double cost = 1;             ///< Expected work, in one unit for all requests of the service.
-  std::size_t bytes = 0;       ///< Of the body.
-  MonotonicTime target{};      ///< When the answer or the first event is due.
+  bool begun = false;          ///< The caller has received the start of the stream.
+  bool sent_before = false;  ///< After a rejection it would be unknown whether the request has run.
+  bool returned = false;     ///< Came back after the Retry-After time of an earlier rejection.
+  bool room_seen = false;    ///< Some back end has room now. The request is not rejected then.
+  double cost = 1;           ///< Expected work, in the same unit for all requests of the service.
+  std::size_t bytes = 0;     ///< Size of the body.
+  MonotonicTime target{};    ///< When the answer or first event is due.
   MonotonicTime deadline{};
 
-  /// Whether a queue may end the request by a decision of its own.
+  /// Whether a queue may reject the request.
   bool may_be_rejected() const { return !sent_before; }
 };
 
-/// Why a queue turns a request away.
+/// Why a queue rejects a request.
 enum class QueueRejectReason : std::uint8_t {
-  kTooLate,    ///< Even an optimistic prediction ends after the deadline.
-  kFull,       ///< The bound on requests or on bytes is reached.
-  kDisplaced,  ///< Gave its place to a request of a smaller tenant or class.
-  kExpired,    ///< No place became free in time.
-  kStopping,   ///< This node stops; others serve the request.
+  kTooLate,    ///< Even the optimistic prediction is past the deadline.
+  kFull,       ///< The limit on requests or bytes is reached.
+  kDisplaced,  ///< Displaced by a request of a smaller tenant or class.
+  kExpired,    ///< No back end had room in time.
+  kStopping,   ///< This node is stopping; other nodes can serve the request.
 };
 
 struct QueueRejection {
@@ -47,49 +48,52 @@
   Duration retry_after{};
 };
 
-/// What became of a queued request's turn.
+/// Result of trying to send a queued request.
 enum class DispatchResult : std::uint8_t {
-  kTaken,   ///< Sent, or ended: its place is given up.
-  kNoRoom,  ///< No back end has room for it yet; it keeps its place.
+  kLeftQueue,  ///< Sent or ended; it leaves the queue.
+  kNoRoom,     ///< No back end has room for it yet, so it keeps its place.
 };
 
-/// The owner of a queued request.
+/// Interface for the owner of a queued request.
 class QueueWaiter {
  public:
   virtual ~QueueWaiter() = default;
-  /// Sends the request if a back end has room. The waiter may be destroyed inside.
+  /// Sends the request if a back end has room. The waiter may be destroyed during the call.
   virtual DispatchResult try_dispatch() = 0;
-  /// The place is lost. The waiter may be destroyed inside.
+  /// Called when the queue rejects the request, which has lost its place. The waiter may be
+  /// destroyed during the call.
   virtual void on_rejected(const QueueRejection& rejection) = 0;
-  /// Asked for rarely: it costs a hash of the body.
+  /// Fingerprint of the request. Computing it hashes the body, so the queue rarely asks for it.
   virtual const RequestFingerprint& queue_fingerprint() = 0;
 };
 
-/// A place in a queue; freed at once when destroyed.
+/// A place in a queue, released on destruction.
 class QueuePlace {
  public:
   virtual ~QueuePlace() = default;
 };
 
-/// How a request joins: with a place, rejected, or, with neither, to be sent now.
+/// Result of joining a queue: a place, a rejection, or neither if the request is to be sent now.
 struct JoinResult {
   std::unique_ptr<QueuePlace> place;
   std::optional<QueueRejection> rejection;
 };
 
-/// One loop.
+/// Used on one event loop.
 class RequestQueue {
  public:
   virtual ~RequestQueue() = default;
-  /// Whether requests wait for full back ends at all.
+  /// Whether queueing is enabled.
   virtual bool enabled() const = 0;
   virtual bool has_waiting(const ServiceName& service) const = 0;
-  /// Requests of all services.
+  /// Number of waiting requests of all services.
   virtual std::size_t waiting() const = 0;
-  /// `waiter` outlives the place. Neither of its members is called inside, but for the fingerprint.
+  /// `waiter` must outlive the place. Of its members only queue_fingerprint() is called from within
+  /// this call.
   virtual JoinResult join(QueueRequest request, QueueWaiter& waiter) = 0;
-  /// An attempt of this node has ended, so that its back end may have room. `completed`: the back
-  /// end worked on the request, so that this tells how fast the service completes requests.
+  /// Called when an attempt of this node has ended, so its back end may have room. `completed` says
+  /// that the back end worked on the request, so that the attempt counts for the rate at which the
+  /// service completes requests.
   virtual void note_attempt_ended(const ServiceName& service, bool completed) = 0;
 };
 
--- a/src/gateway/request_session.cc
+++ b/src/gateway/request_session.cc
@@ -15,11 +15,11 @@
 
 using std::chrono::milliseconds;
 
-constexpr std::uint32_t kMostUnreachable = 4;
-/// When a request that did not run may come back, in parts of its objective.
-constexpr double kRetryAfterObjectives = 0.15;
-/// Bytes a caller has not taken beyond which reading from the back end stops.
-constexpr std::size_t kCallerBufferBytes = 64U << 10U;
+constexpr std::uint32_t kMaxUnreachableAttempts = 4;
+/// Retry-After of a request that did not run, as a fraction of the route's target latency.
+constexpr double kRetryAfterLatencyRatio = 0.15;
+/// Reading from the back end stops while more bytes than this wait for the caller.
+constexpr std::size_t kMaxCallerBufferBytes = 64U << 10U;
 
 std::int64_t to_milliseconds(Duration span) {
   return std::chrono::duration_cast<milliseconds>(span).count();
@@ -46,7 +46,7 @@
       cache_(environment),
       backup_(environment.fleet, environment.loads),
       starter_(environment, cache_, backup_),
-      repeats_(environment, route_),
+      retry_limit_(environment, route_),
       reports_(environment, request_, tenant_),
       dispatch_(std::make_shared<RequestDispatch>(environment, *this)) {}
 
@@ -56,9 +56,10 @@
   arrived_ = environment_.clock.now();
   id_ = http::find_header(request_.headers, names.request_id);
   log_.begin(id_, arrived_);
-  const auto most = static_cast<std::uint64_t>(to_milliseconds(route_.timeout));
-  const std::string_view waits = http::find_header(request_.headers, names.deadline);
-  deadline_ = arrived_ + milliseconds(std::min(most, http::parse_number(waits).value_or(most)));
+  const auto max_ms = static_cast<std::uint64_t>(to_milliseconds(route_.timeout));
+  const std::string_view requested_ms = http::find_header(request_.headers, names.deadline);
+  deadline_ =
+      arrived_ + milliseconds(std::min(max_ms, http::parse_number(requested_ms).value_or(max_ms)));
   if (routes_->has_tenants()) {
     std::erase_if(request_.headers,
                   [&](const http::Header& header) { return header.name == names.credentials; });
@@ -74,14 +75,14 @@
       backup_.enable(id_, environment_.gate);
     }
   }
-  const std::string_view last = http::find_header(request_.headers, names.last_event);
-  if (!last.empty()) {
-    last_event_ = http::parse_number(last).value_or(0);
+  const std::string_view last_event = http::find_header(request_.headers, names.last_event);
+  if (!last_event.empty()) {
+    last_event_ = http::parse_number(last_event).value_or(0);
   }
   environment_.budget.note_request(service_, arrived_);
   writer_->on_closed([weak = weak_from_this()] {
     if (const auto self = weak.lock()) {
-      self->caller_gone();
+      self->on_caller_disconnected();
     }
   });
   writer_->on_drained([weak = weak_from_this()] {
@@ -90,8 +91,8 @@
       self->attempt_->exchange->set_reading(true);
     }
   });
-  if (environment_.ends_at && deadline_ > *environment_.ends_at) {
-    give_up(FailureReason::kStopping);
+  if (environment_.shutdown_time && deadline_ > *environment_.shutdown_time) {
+    end_with_failure(FailureReason::kStopping);
     return;
   }
   deadline_timer_.arm(deadline_ - arrived_, [this] { on_deadline(); });
@@ -120,7 +121,7 @@
   PlacementRequest wanted;
   wanted.service = service_;
   wanted.prompt = prompt_ ? &*prompt_ : nullptr;
-  wanted.may_read_apart = !read_apart_;
+  wanted.may_read_apart = !prefill_attempted_;
   wanted.avoid = tried_;
   wanted.gate = environment_.gate;
   wanted.stream = stream_needs();
@@ -138,8 +139,8 @@
           .route = route_.name,
           .tenant = tenant_ != nullptr ? tenant_->name : TenantName(),
           .priority = priority(),
-          .begun = is_begun(),
-          .sent_before = repeats_.sends() != 0,
+          .begun = has_stream_started(),
+          .sent_before = retry_limit_.sends() != 0,
           .cost = static_cast<double>(tokens),
           .bytes = request_.body.size(),
           .target = arrived_ + route_.target_latency,
@@ -151,7 +152,7 @@
   const AttemptInput input = attempt_input();
   attempt_.emplace(starter_.make(choice, kind, input));
   if (attempt_->prefill) {
-    read_apart_ = true;
+    prefill_attempted_ = true;
   } else {
     tried_.insert(backend.id);
   }
@@ -169,7 +170,7 @@
           .priority = priority(),
           .left = time_left(),
           .last_event = last_event_,
-          .answer_open = answer_open_,
+          .head_sent = head_sent_,
           .trial = dispatch_->trial()};
 }
 
@@ -184,18 +185,19 @@
   note_statement(statement);
   const bool ran = !attempt_->prefill && statement.is_signed && !statement.not_run;
   attempt_->streams = ran && is_stream() && is_success(head.status);
-  if (attempt_->streams && attempt_->continues && backup_.head()) {
+  if (attempt_->streams && attempt_->resumed_run && backup_.head()) {
     attempt_->head = backup_.head();
   } else if (attempt_->streams && attempt_->cache_backup) {
     backup_.note_head(head);
   }
   if (ran && !attempt_->streams) {
-    // Ordinary servers begin when they are sent a request, as a rule.
+    // Servers that are not engines usually start a request when they receive it.
     note_run(environment_.clock.now() - attempt_->started);
   }
 }
 
-/// An answer 421 is another back end's, which has the address now.
+/// Records the load, pace and limits that an answer reports. Status 421 comes from another back end
+/// that now has the address, so only its load is recorded.
 void RequestSession::note_statement(const BackendStatement& statement) {
   if (statement.load) {
     environment_.loads.note_report(attempt_->backend, *statement.load, environment_.clock.now());
@@ -217,7 +219,7 @@
     return;
   }
   attempt_->events.append(bytes);
-  relay_events();
+  forward_events();
 }
 
 void RequestSession::on_complete() {
@@ -226,11 +228,11 @@
     end_prefill(attempt_->head->status != 200);
     return;
   }
-  repeats_.note_send();
-  judge_complete();
+  retry_limit_.note_send();
+  handle_complete_answer();
 }
 
-/// A prefill call cannot run the request: whatever became of it, a run may follow.
+/// A prefill call cannot run the request, so a run may follow whatever its result.
 void RequestSession::end_prefill(bool refused) {
   const Backend* backend = environment_.fleet.find(attempt_->backend);
   const auto handle =
@@ -242,16 +244,17 @@
     observe_prefill();
   }
   note(handle ? "prefill done" : "prefill refused", handle.value_or(""));
-  end_attempt(handle ? AttemptVerdict::kGood : verdict_of_failed_prefill(attempt_->statement));
-  if (!handle && !repeats_.spend(service_)) {
-    give_up(FailureReason::kRefused);
+  end_attempt(handle ? AttemptVerdict::kGood : failed_prefill_verdict(attempt_->statement));
+  if (!handle && !retry_limit_.spend(service_)) {
+    end_with_failure(FailureReason::kRefused);
     return;
   }
   dispatch_->begin();
 }
 
-/// Only of prompts of which just the part of their own was unread: whether an engine still keeps a
-/// shared part is an estimate, and one that it kept after all would make it look fast.
+/// Observes only prefills of exactly the prompt's own, unshared tokens. Whether an engine still
+/// caches a shared part is an estimate; a part that was cached after all would make the engine
+/// appear too fast.
 void RequestSession::observe_prefill() {
   const bool certain = prompt_ && !attempt_->uses_cache && !attempt_->cache_source &&
                        attempt_->unread_tokens == prompt_->own_tokens();
@@ -267,7 +270,7 @@
                                       now);
 }
 
-/// How much of a stream is to come is not known where its caller resumes it.
+/// The remaining length of the stream is unknown if the caller resumed it.
 void RequestSession::observe_stream() {
   const bool known = prompt_ && (timing_.events() != 0 || !last_event_);
   attempt_->observed = std::make_unique<StreamObservation>(
@@ -275,7 +278,7 @@
       known ? std::optional(prompt_->expected_output_tokens) : std::nullopt, timing_.events());
 }
 
-/// A request counts once, however often it runs.
+/// Reports a request once, even if it runs several times.
 void RequestSession::note_run(Duration ago) {
   if (std::exchange(run_noted_, true) || tenant_ == nullptr || !environment_.note_run) {
     return;
@@ -283,96 +286,96 @@
   environment_.note_run(tenant_->name, ago);
 }
 
-void RequestSession::judge_complete() {
+void RequestSession::handle_complete_answer() {
   const http::ResponseHead& head = *attempt_->head;
   const BackendStatement& statement = attempt_->statement;
   if (statement.not_run) {
     note("attempt refused", std::to_string(head.status));
-    if (attempt_->continues) {
-      // A server that has not run the request is none of the route's attempts.
-      repeats_.allow_one_more();
+    if (attempt_->resumed_run) {
+      // A resume that the backup engine refused does not count as one of the route's attempts.
+      retry_limit_.exclude_send();
       ++environment_.statistics.copies_missing;
     }
-    // An engine without the copy is neither ill nor full.
+    // A missing copy does not mean that the engine is unhealthy or full.
     const AttemptVerdict refused =
-        attempt_->continues ? AttemptVerdict::kAbandoned : AttemptVerdict::kRefused;
+        attempt_->resumed_run ? AttemptVerdict::kAbandoned : AttemptVerdict::kRefused;
     end_attempt(statement.misdirected ? AttemptVerdict::kReplaced : refused);
-    retry_or_give_up(FailureReason::kRefused);
+    retry_or_fail(FailureReason::kRefused);
     return;
   }
   may_have_run_ = true;
   note_run(environment_.clock.now() - attempt_->started);
   if (!statement.is_signed) {
-    note("attempt without signature", std::to_string(head.status));
+    note("answer without signature", std::to_string(head.status));
     end_attempt(AttemptVerdict::kFailed);
-    retry_or_give_up(FailureReason::kBroken);
+    retry_or_fail(FailureReason::kBroken);
     return;
   }
   reports_.note_answer(*attempt_);
   if (attempt_->streams) {
-    relay_whole();
+    relay_complete_answer();
     return;
   }
-  if (!is_success(head.status) && !answer_open_ && route_.repeatable() && may_send_again()) {
-    note("attempt failed at the back end", std::to_string(head.status));
+  if (!is_success(head.status) && !head_sent_ && route_.repeatable() && may_retry()) {
+    note("back end answered with an error", std::to_string(head.status));
     failed_answer_ = FailedAnswer{head, std::move(attempt_->body)};
     end_attempt(AttemptVerdict::kFailed);
     dispatch_->begin();
     return;
   }
-  relay_whole();
+  relay_complete_answer();
 }
 
-void RequestSession::relay_whole() {
+void RequestSession::relay_complete_answer() {
   const std::string_view rest = attempt_->events.rest();
   if (attempt_->streams) {
-    open_answer(*attempt_->head);
+    send_answer_head(*attempt_->head);
     writer_->send_body(rest);
     writer_->finish();
-  } else if (answer_open_) {
-    // A resumed stream was answered with something else.
+  } else if (head_sent_) {
+    // The caller already has the head of a stream, but this answer is not one.
     end_attempt(AttemptVerdict::kFailed);
-    retry_or_give_up(FailureReason::kBroken);
+    retry_or_fail(FailureReason::kBroken);
     return;
   } else {
-    answer_whole(*attempt_->head, attempt_->body);
+    send_complete_answer(*attempt_->head, attempt_->body);
   }
   ++environment_.statistics.answered;
-  environment_.statistics.continued_whole += attempt_->streams && attempt_->continues ? 1 : 0;
+  environment_.statistics.continued_whole += attempt_->streams && attempt_->resumed_run ? 1 : 0;
   end_attempt(is_success(attempt_->head->status) ? AttemptVerdict::kGood : AttemptVerdict::kFailed);
   finish("answered");
 }
 
-void RequestSession::answer_whole(const http::ResponseHead& head, std::string_view body) {
-  answer_open_ = true;
+void RequestSession::send_complete_answer(const http::ResponseHead& head, std::string_view body) {
+  head_sent_ = true;
   environment_.statistics.first_byte.note(environment_.clock.now() - arrived_);
   writer_->respond(head.status, headers_for_caller(head.headers), body);
 }
 
-void RequestSession::relay_events() {
-  bool passed = false;
+void RequestSession::forward_events() {
+  bool forwarded = false;
   while (const auto event = attempt_->events.next()) {
-    if (!attempt_->prompt_read) {
-      attempt_->prompt_read = true;
+    if (!attempt_->prefill_done) {
+      attempt_->prefill_done = true;
       note("first event", "");
       note_run(Duration::zero());
       environment_.loads.note_read(attempt_->backend, attempt_->unread_tokens);
       observe_prefill();
       observe_stream();
     }
-    passed = pass_event(*event) || passed;
+    forwarded = forward_event(*event) || forwarded;
   }
-  if (passed) {
+  if (forwarded) {
     watch_progress();
   }
 }
 
-/// Sends one event on, unless the caller has it already.
-bool RequestSession::pass_event(const StreamEvent& event) {
+/// Forwards one event to the caller. Returns false if the caller already has it.
+bool RequestSession::forward_event(const StreamEvent& event) {
   if (event.id && last_event_ && *event.id <= *last_event_) {
     return false;
   }
-  open_answer(*attempt_->head);
+  send_answer_head(*attempt_->head);
   if (event.id) {
     last_event_ = event.id;
   }
@@ -380,19 +383,19 @@
   timing_.note_event(environment_.clock.now());
   attempt_->observed->note_event(environment_.clock.now());
   writer_->send_body(event.bytes);
-  if (writer_->buffered_bytes() > kCallerBufferBytes) {
-    attempt_->observed->note_not_read();
+  if (writer_->buffered_bytes() > kMaxCallerBufferBytes) {
+    attempt_->observed->note_reading_stopped();
     attempt_->exchange->set_reading(false);
   }
   return true;
 }
 
-/// Gives the caller the head of the first back end that answers with events.
-void RequestSession::open_answer(const http::ResponseHead& head) {
-  if (answer_open_) {
+/// Sends the head of the first back end that answers with events to the caller.
+void RequestSession::send_answer_head(const http::ResponseHead& head) {
+  if (head_sent_) {
     return;
   }
-  answer_open_ = true;
+  head_sent_ = true;
   environment_.statistics.first_byte.note(environment_.clock.now() - arrived_);
   writer_->send_head({head.status, headers_for_caller(head.headers)});
 }
@@ -400,139 +403,142 @@
 void RequestSession::on_failure(const http::HttpError& error, bool sent) {
   const std::shared_ptr<RequestSession> keep = shared_from_this();
   if (error.code == http::HttpErrc::kWithdrawn) {
-    on_withdrawn();
+    on_send_withdrawn();
     return;
   }
   if (!sent) {
-    note("no connection", error.message);
+    note("connection failed", error.message);
     ++unreachable_;
     end_attempt(AttemptVerdict::kUnreachable);
-    if (unreachable_ < kMostUnreachable) {
-      dispatch_unsent(attempt_->continues ? SendKind::kContinuation : SendKind::kRun);
+    if (unreachable_ < kMaxUnreachableAttempts) {
+      dispatch_unsent(attempt_->resumed_run ? SendKind::kResume : SendKind::kRun);
     } else {
-      give_up(FailureReason::kUnreachable);
+      end_with_failure(FailureReason::kUnreachable);
     }
     return;
   }
-  log_.note_break(error, *attempt_, fingerprint().to_hex());
-  const bool silent = error.code == http::HttpErrc::kTimeout;
-  reports_.note_break(service_, *attempt_,
-                      silent ? AttemptFailureKind::kUnresponsive : AttemptFailureKind::kClosed);
-  if (silent) {
+  log_.note_failure(error, *attempt_, fingerprint().to_hex());
+  const bool timed_out = error.code == http::HttpErrc::kTimeout;
+  reports_.note_failure(
+      service_, *attempt_,
+      timed_out ? AttemptFailureKind::kUnresponsive : AttemptFailureKind::kClosed);
+  if (timed_out) {
     environment_.loads.note_silence(attempt_->backend, environment_.clock.now());
   }
   if (attempt_->prefill) {
     end_prefill(true);
     return;
   }
-  repeats_.note_send();
+  retry_limit_.note_send();
   may_have_run_ = true;
-  // A kept connection that had died says nothing of the back end.
+  // A failure on a kept-alive connection that was already closed says nothing about the back end.
   const bool stale = error.code == http::HttpErrc::kStaleConnection;
-  if (!stale && !silent && !prompt_) {
-    // An ordinary server that closes under a request has begun it, as a rule.
+  if (!stale && !timed_out && !prompt_) {
+    // A server that is not an engine has usually started a request when it closes the connection.
     note_run(environment_.clock.now() - attempt_->started);
   }
   if (stale) {
     tried_.erase(attempt_->backend);
   }
-  const BrokenRun run = broken_run(error.code);
+  const FailedRun run = failed_run(error.code);
   end_attempt(stale ? AttemptVerdict::kAbandoned : AttemptVerdict::kFailed);
-  continue_or_retry(run);
+  resume_or_retry(run);
 }
 
-/// Of the current attempt, which is still at work.
-BrokenRun RequestSession::broken_run(http::HttpErrc error) const {
+/// Describes the current attempt, which must still be in progress.
+FailedRun RequestSession::failed_run(http::HttpErrc error) const {
   return {.error = error,
-          .runner_gone = backup_.is_runner_gone(attempt_->backend, environment_.clock.now()),
-          .repeatable = route_.repeatable() && !repeats_.is_last_attempt(true),
-          .has_time = time_left() >= kLeastTime};
+          .runner_terminated =
+              backup_.has_runner_terminated(attempt_->backend, environment_.clock.now()),
+          .retry_allowed = route_.repeatable() && !retry_limit_.is_last_attempt(true),
+          .has_time = time_left() >= kMinAttemptTime};
 }
 
-/// Sends a stream whose attempt has ended on to the engine that holds its copy: the same run,
-/// whatever the route. Where it may not continue there, what the route allows follows.
-void RequestSession::continue_or_retry(const BrokenRun& run) {
+/// Resumes a stream whose attempt has ended at the engine that holds its copy. Any route allows
+/// this, since it is the same run. If the stream cannot be resumed there, it is retried if the
+/// route allows a retry.
+void RequestSession::resume_or_retry(const FailedRun& run) {
   const BackupObstacle obstacle = backup_.obstacle(run, environment_.clock.now());
   if (obstacle != BackupObstacle::kNone) {
     if (attempt_->cache_backup) {
       ++environment_.statistics.not_continued;
-      note("stream not continued at its backup", describe(obstacle));
+      note("stream not resumed at its backup engine", describe(obstacle));
     }
-    retry_or_give_up(FailureReason::kBroken);
+    retry_or_fail(FailureReason::kBroken);
     return;
   }
   if (!dispatch_->passes_guard()) {
     return;
   }
-  if (!repeats_.spend(service_)) {
-    not_sent_again_ = "retry budget";
-    give_up(FailureReason::kBroken);
+  if (!retry_limit_.spend(service_)) {
+    retry_denied_reason_ = "retry budget";
+    end_with_failure(FailureReason::kBroken);
     return;
   }
   const PlacementChoice choice{.backend = backup_.engine()};
-  note("stream continues at its backup", choice.backend->address.value());
-  if (!dispatch_->start_continuation(choice)) {
-    dispatch_unsent(SendKind::kContinuation);
+  note("stream resumes at its backup engine", choice.backend->address.value());
+  if (!dispatch_->start_resume(choice)) {
+    dispatch_unsent(SendKind::kResume);
   }
 }
 
-/// Only the run that was begun may go on at a backup: elsewhere the request would run anew.
+/// A run can be resumed only at its backup engine; any other back end would run the request again.
 void RequestSession::dispatch_unsent(SendKind kind) {
-  if (kind == SendKind::kContinuation) {
-    repeats_.note_unsent();
-    retry_or_give_up(FailureReason::kBroken);
+  if (kind == SendKind::kResume) {
+    retry_limit_.refund();
+    retry_or_fail(FailureReason::kBroken);
   } else {
     dispatch_->begin();
   }
 }
 
-/// The back end has asked for nothing more while the request waited for a connection.
-void RequestSession::on_withdrawn() {
-  note("not sent: back end asked for nothing more", "");
+/// The back end began a backoff period while the request waited for a connection.
+void RequestSession::on_send_withdrawn() {
+  note("request not sent: back end is backing off", "");
   ++environment_.statistics.withdrawn;
   tried_.erase(attempt_->backend);
   if (attempt_->prefill) {
-    read_apart_ = false;
+    prefill_attempted_ = false;
   }
   end_attempt(AttemptVerdict::kNotSent);
-  dispatch_unsent(attempt_->continues ? SendKind::kContinuation : SendKind::kRun);
+  dispatch_unsent(attempt_->resumed_run ? SendKind::kResume : SendKind::kRun);
 }
 
-void RequestSession::retry_or_give_up(FailureReason reason) {
+void RequestSession::retry_or_fail(FailureReason reason) {
   const bool allowed = reason == FailureReason::kRefused ? !may_have_run_ || route_.repeatable()
                                                          : route_.repeatable();
   if (!allowed) {
-    not_sent_again_ = "may have run";
+    retry_denied_reason_ = "may have run";
   }
-  // A repeat that could go nowhere would be taken out of the budget for nothing.
-  if (allowed && dispatch_->is_closed_everywhere(false)) {
-    not_sent_again_ = "nobody else has room";
-    give_up(reason == FailureReason::kRefused ? dispatch_->reason_of_no_backend() : reason);
+  // A retry that no back end accepts would be charged to the retry budget without being sent.
+  if (allowed && dispatch_->no_backend_accepts(false)) {
+    retry_denied_reason_ = "no other back end has room";
+    end_with_failure(reason == FailureReason::kRefused ? dispatch_->no_backend_reason() : reason);
     return;
   }
-  if (allowed && may_send_again()) {
-    if (answer_open_) {
+  if (allowed && may_retry()) {
+    if (head_sent_) {
       ++environment_.statistics.resumed;
     }
     dispatch_->begin();
     return;
   }
-  give_up(reason);
+  end_with_failure(reason);
 }
 
-/// Takes one more send out of the route's attempts and the budget.
-bool RequestSession::may_send_again() {
-  not_sent_again_ = repeats_.obstacle(service_, dispatch_->trial(), time_left());
-  return not_sent_again_.empty();
+/// Acquires one more send from the route's attempts and the retry budget.
+bool RequestSession::may_retry() {
+  retry_denied_reason_ = retry_limit_.acquire(service_, dispatch_->trial(), time_left());
+  return retry_denied_reason_.empty();
 }
 
-/// Closes the attempt's connection, if it still runs, and accounts for it.
+/// Ends the attempt, if it is in progress: closes its exchange and updates the load table.
 void RequestSession::end_attempt(AttemptVerdict verdict) {
   progress_timer_.disarm();
-  if (!at_work()) {
+  if (!has_active_attempt()) {
     return;
   }
-  if (!std::exchange(attempt_->prompt_read, true)) {
+  if (!std::exchange(attempt_->prefill_done, true)) {
     environment_.loads.note_read(attempt_->backend, attempt_->unread_tokens);
   }
   if (attempt_->observed) {
@@ -541,10 +547,10 @@
   environment_.loads.end(attempt_->backend, verdict, environment_.clock.now());
   if (environment_.queue != nullptr) {
     const bool worked =
-        !attempt_->prefill && !is_certainly_unread(verdict) && !attempt_->statement.not_run;
+        !attempt_->prefill && !is_certainly_not_prefilled(verdict) && !attempt_->statement.not_run;
     environment_.queue->note_attempt_ended(service_, worked);
   }
-  if (prompt_ && is_certainly_unread(verdict)) {
+  if (prompt_ && is_certainly_not_prefilled(verdict)) {
     environment_.loads.forget_prompt(attempt_->backend, *prompt_, attempt_->started);
   }
   if (attempt_->uses_cache) {
@@ -554,81 +560,83 @@
   attempt_->backend = BackendId();
 }
 
-/// A silent back end is left for another one if the request may be repeated.
+/// Starts the timer after which a retryable request leaves an unresponsive back end.
 void RequestSession::watch_progress() {
-  if (!route_.repeatable() && !is_runner_gone()) {
+  if (!route_.repeatable() && !has_runner_terminated()) {
     return;
   }
-  progress_timer_.arm(patience_with(route_, answer_open_, time_left()),
+  progress_timer_.arm(progress_timeout(route_, head_sent_, time_left()),
                       [this] { on_no_progress(); });
 }
 
 void RequestSession::on_no_progress() {
   const std::shared_ptr<RequestSession> keep = shared_from_this();
-  if (leaves_gone_runner()) {
+  if (resume_if_runner_terminated()) {
     return;
   }
   if (!route_.repeatable()) {
     watch_progress();
     return;
   }
-  if (dispatch_->trial() || !at_work() || attempt_->prefill || repeats_.is_last_attempt(false)) {
+  if (dispatch_->trial() || !has_active_attempt() || attempt_->prefill ||
+      retry_limit_.is_last_attempt(false)) {
     return;
   }
-  if (dispatch_->is_closed_everywhere(false)) {
+  if (dispatch_->no_backend_accepts(false)) {
     watch_progress();
     return;
   }
-  if (time_left() < kLeastTime || !repeats_.spend(service_)) {
+  if (time_left() < kMinAttemptTime || !retry_limit_.spend(service_)) {
     return;
   }
-  note("attempt made no progress", "");
-  if (answer_open_) {
+  note("attempt timed out without progress", "");
+  if (head_sent_) {
     ++environment_.statistics.resumed;
   }
-  abandon_silent_attempt();
+  abandon_unresponsive_attempt();
   dispatch_->begin();
 }
 
-bool RequestSession::is_runner_gone() const {
-  return at_work() && attempt_->prompt_read &&
-         backup_.is_runner_gone(attempt_->backend, environment_.clock.now());
+bool RequestSession::has_runner_terminated() const {
+  return has_active_attempt() && attempt_->prefill_done &&
+         backup_.has_runner_terminated(attempt_->backend, environment_.clock.now());
 }
 
-/// A server that is no longer registered has sent nothing for a while: it has ended, and its
-/// connection cannot tell. Where the backup cannot be used it is waited for, in case it has not: a
-/// store may lose registrations of servers that live.
-bool RequestSession::leaves_gone_runner() {
-  // While the caller has bytes to take, reading may be stopped: silence says nothing then.
-  if (!is_runner_gone() || writer_->buffered_bytes() != 0) {
+/// A server that is no longer registered and sends nothing is taken as terminated, even if its
+/// connection is still open. If the backup engine cannot be used, the session keeps waiting,
+/// because the shared store may lose the registration of a server that is still running.
+bool RequestSession::resume_if_runner_terminated() {
+  // While bytes wait for the caller, reading may be stopped, so missing events prove nothing.
+  if (!has_runner_terminated() || writer_->buffered_bytes() != 0) {
     return false;
   }
-  const BrokenRun run = broken_run(http::HttpErrc::kTimeout);
+  const FailedRun run = failed_run(http::HttpErrc::kTimeout);
   if (backup_.obstacle(run, environment_.clock.now()) != BackupObstacle::kNone) {
     return false;
   }
-  note("server gone, and silent", "");
-  abandon_silent_attempt();
-  continue_or_retry(run);
+  note("server terminated without closing the connection", "");
+  abandon_unresponsive_attempt();
+  resume_or_retry(run);
   return true;
 }
 
-void RequestSession::abandon_silent_attempt() {
-  repeats_.note_send();
+void RequestSession::abandon_unresponsive_attempt() {
+  retry_limit_.note_send();
   may_have_run_ = true;
-  reports_.note_break(service_, *attempt_, AttemptFailureKind::kUnresponsive);
+  reports_.note_failure(service_, *attempt_, AttemptFailureKind::kUnresponsive);
   end_attempt(AttemptVerdict::kFailed);
 }
 
 void RequestSession::on_backend_unregistered(const BackendId& backend) {
-  // The timer of a stream that may be repeated runs already.
-  if (!ended_ && !route_.repeatable() && at_work() && attempt_->backend == backend) {
+  // For a retryable stream the timer is already running.
+  if (!ended_ && !route_.repeatable() && has_active_attempt() && attempt_->backend == backend) {
     watch_progress();
   }
 }
 
 void RequestSession::on_quarantined(const RequestFingerprint& request) {
-  const bool begun = dispatch_->trial() || (at_work() && (attempt_->head || attempt_->prompt_read));
+  const bool begun =
+      dispatch_->trial() || (has_active_attempt() && (attempt_->head || attempt_->prefill_done));
   if (ended_ || begun || fingerprint() != request) {
     return;
   }
@@ -641,29 +649,29 @@
   }
 }
 
-/// Ends the request by this node's own decision, whatever a back end does with it.
+/// Ends the request by a decision of this node, even if a back end is working on it.
 void RequestSession::abandon(FailureReason reason) {
   const std::shared_ptr<RequestSession> keep = shared_from_this();
-  if (at_work()) {
-    reports_.note_break(service_, *attempt_, AttemptFailureKind::kAbandoned);
+  if (has_active_attempt()) {
+    reports_.note_failure(service_, *attempt_, AttemptFailureKind::kAbandoned);
     may_have_run_ = may_have_run_ || !attempt_->prefill;
   }
-  give_up(reason);
+  end_with_failure(reason);
 }
 
-void RequestSession::give_up(FailureReason reason) {
+void RequestSession::end_with_failure(FailureReason reason) {
   end_attempt(AttemptVerdict::kAbandoned);
   environment_.statistics.quarantined += reason == FailureReason::kQuarantined ? 1 : 0;
   environment_.statistics.rate_limited += reason == FailureReason::kRateLimited ? 1 : 0;
   environment_.statistics.backing_off += reason == FailureReason::kBackingOff ? 1 : 0;
-  if (answer_open_) {
+  if (head_sent_) {
     ++environment_.statistics.broken;
     writer_->abort();
     finish("broken");
     return;
   }
   if (failed_answer_) {
-    answer_whole(failed_answer_->head, failed_answer_->body);
+    send_complete_answer(failed_answer_->head, failed_answer_->body);
     ++environment_.statistics.answered;
     finish("answered");
     return;
@@ -672,19 +680,19 @@
   FailureAnswer answer = make_failure_answer(
       reason, may_have_run_,
       dispatch_->retry_after(
-          reason, from_seconds(kRetryAfterObjectives * to_seconds(route_.target_latency))),
+          reason, from_seconds(kRetryAfterLatencyRatio * to_seconds(route_.target_latency))),
       {environment_.names.request_id, id_});
   writer_->respond(answer.status, std::move(answer.headers), answer.body);
   finish(describe(reason));
 }
 
-void RequestSession::caller_gone() {
+void RequestSession::on_caller_disconnected() {
   if (ended_) {
     return;
   }
   const std::shared_ptr<RequestSession> keep = shared_from_this();
-  if (at_work()) {
-    reports_.note_break(service_, *attempt_, AttemptFailureKind::kAbandoned);
+  if (has_active_attempt()) {
+    reports_.note_failure(service_, *attempt_, AttemptFailureKind::kAbandoned);
   }
   ++environment_.statistics.caller_gone;
   end_attempt(AttemptVerdict::kAbandoned);
@@ -693,12 +701,12 @@
 
 void RequestSession::on_deadline() {
   const std::shared_ptr<RequestSession> keep = shared_from_this();
-  if (at_work() && !attempt_->prompt_read) {
-    reports_.note_break(service_, *attempt_, AttemptFailureKind::kUnresponsive);
+  if (has_active_attempt() && !attempt_->prefill_done) {
+    reports_.note_failure(service_, *attempt_, AttemptFailureKind::kUnresponsive);
   }
-  may_have_run_ = may_have_run_ || (at_work() && !attempt_->prefill);
-  note("deadline", "");
-  give_up(FailureReason::kTimeout);
+  may_have_run_ = may_have_run_ || (has_active_attempt() && !attempt_->prefill);
+  note("deadline exceeded", "");
+  end_with_failure(FailureReason::kTimeout);
 }
 
 void RequestSession::finish(std::string_view outcome) {
@@ -715,8 +723,8 @@
   log_.note_end({.fingerprint = known ? known->to_hex() : "",
                  .service = service_.value(),
                  .outcome = std::string(outcome),
-                 .not_sent_again = std::string(not_sent_again_),
-                 .attempts = static_cast<std::uint64_t>(repeats_.sends() + unreachable_),
+                 .not_sent_again = std::string(retry_denied_reason_),
+                 .attempts = static_cast<std::uint64_t>(retry_limit_.sends() + unreachable_),
                  .configuration = routes_->configuration().version.value(),
                  .most_output_tokens = prompt_ ? prompt_->output_tokens : 0},
                 timing_);
--- a/src/gateway/request_session.h
+++ b/src/gateway/request_session.h
@@ -1,5 +1,5 @@
-// One caller's request from its arrival to its end: attempts at back ends, their judgement, and the
-// answer.
+// Handles one caller's request: sends it to back ends, decides after each attempt whether to retry,
+// and answers the caller.
 #pragma once
 
 #include <functional>
@@ -29,24 +29,25 @@
 
 namespace ochrespring::gateway {
 
-/// What the configuration in force says of a request before it begins.
+/// What the current configuration says about a request before it is started.
 struct Admission {
-  const Route* route = nullptr;  ///< Null: there is none.
+  const Route* route = nullptr;  ///< Null if no route matches.
   KeyCheck key;
 
   bool allowed() const { return route != nullptr && key.allowed; }
-  /// Why it is not.
+  /// Why the request is not allowed.
   FailureReason refusal() const {
     return route == nullptr ? FailureReason::kNoRoute : FailureReason::kUnknownKey;
   }
 };
 
-/// Shares its life with the exchange it waits for; used on its loop.
+/// Handles a request from its arrival to the final answer. Callbacks hold a shared pointer while
+/// they run. Used on one event loop.
 ///
-/// Two facts decide what may follow an attempt: whether any byte of the request left, and whether
-/// the back end said that it did not run it. Only a request of which every attempt is certain not
-/// to have run is answered as such (503); after anything else a request that may not be repeated
-/// ends as unknown (502 or 504) at once.
+/// What may follow an attempt depends on whether any byte of the request was sent and whether the
+/// back end states that it did not run the request. Only a request of which no attempt can have run
+/// is answered as not run (503). Otherwise, a request that must not be retried ends immediately
+/// with an unknown outcome (502 or 504).
 class RequestSession final : public http::ResponseObserver,
                              public DispatchOwner,
                              public std::enable_shared_from_this<RequestSession> {
@@ -55,7 +56,7 @@
                  const Admission& admission, http::Request request,
                  std::shared_ptr<http::ResponseWriter> writer);
 
-  /// `on_end` is called once, when nothing is left to do.
+  /// Starts the request. `on_end` is called once, when the request has ended.
   void begin(std::function<void()> on_end);
 
   void on_head(const http::ResponseHead& head) override;
@@ -63,15 +64,17 @@
   void on_complete() override;
   void on_failure(const http::HttpError& error, bool sent) override;
 
-  /// The request has come to be quarantined: where no back end has begun to answer, it ends.
+  /// Called when a request becomes quarantined. Ends this one if it has that fingerprint, is not a
+  /// trial, and no back end has started to answer it.
   void on_quarantined(const RequestFingerprint& request);
-  /// A back end is no longer registered. A stream that it is still sending goes on.
+  /// Called when a back end is no longer registered. A stream that it still sends continues.
   void on_backend_unregistered(const BackendId& backend);
-  /// The process ends: so does the request, with what is known of it.
+  /// Called when the process stops. Ends the request with an answer that says whether it may have
+  /// run.
   void on_stop();
 
  private:
-  // What its dispatch asks for.
+  // DispatchOwner:
   std::shared_ptr<void> keep_alive() override { return shared_from_this(); }
   const ServiceName& service() const override { return service_; }
   PlacementRequest placement_request() const override;
@@ -79,17 +82,17 @@
   const RequestFingerprint& fingerprint() override { return reports_.fingerprint(); }
   Duration time_left() const override { return deadline_ - environment_.clock.now(); }
   Duration target_latency() const override { return route_.target_latency; }
-  std::uint32_t sends() const override { return repeats_.sends(); }
-  bool may_claim_trial() const override { return repeats_.sends() == 0 && !read_apart_; }
+  std::uint32_t sends() const override { return retry_limit_.sends(); }
+  bool may_claim_trial() const override { return retry_limit_.sends() == 0 && !prefill_attempted_; }
   SendRank send_rank() const override {
-    return is_begun() ? kStartedStreamRank : kStartedStreamRank + 1 + priority();
+    return has_stream_started() ? kStartedStreamRank : kStartedStreamRank + 1 + priority();
   }
   void note_denied(const BackendId& backend) override { log_.note_denied(backend); }
   void start_attempt(const PlacementChoice& choice, SendKind kind) override;
   void dispatch_unsent(SendKind kind) override;
-  void give_up(FailureReason reason) override;
+  void end_with_failure(FailureReason reason) override;
 
-  /// None where nothing is known of the events of the service's streams.
+  /// None if the number of tokens per event is not known for the service.
   std::optional<StreamNeeds> stream_needs() const;
   AttemptInput attempt_input() const;
   std::uint32_t priority() const;
@@ -98,29 +101,29 @@
   void observe_prefill();
   void observe_stream();
   void note_run(Duration ago);
-  bool may_send_again();
-  void on_withdrawn();
-  BrokenRun broken_run(http::HttpErrc error) const;
-  /// Whether the stream's server is known to have ended, and it has a copy.
-  bool is_runner_gone() const;
-  /// Whether the stream has been taken from a server that is gone and silent.
-  bool leaves_gone_runner();
-  void abandon_silent_attempt();
-  void continue_or_retry(const BrokenRun& run);
-  void retry_or_give_up(FailureReason reason);
+  bool may_retry();
+  void on_send_withdrawn();
+  FailedRun failed_run(http::HttpErrc error) const;
+  /// Whether the stream is replicated and its server is known to have terminated.
+  bool has_runner_terminated() const;
+  /// Resumes the stream if its server has terminated and sends nothing. Returns whether it did.
+  bool resume_if_runner_terminated();
+  void abandon_unresponsive_attempt();
+  void resume_or_retry(const FailedRun& run);
+  void retry_or_fail(FailureReason reason);
   void end_attempt(AttemptVerdict verdict);
   void watch_progress();
   void on_no_progress();
 
-  void judge_complete();
-  void relay_whole();
-  void answer_whole(const http::ResponseHead& head, std::string_view body);
-  void relay_events();
-  bool pass_event(const StreamEvent& event);
-  void open_answer(const http::ResponseHead& head);
+  void handle_complete_answer();
+  void relay_complete_answer();
+  void send_complete_answer(const http::ResponseHead& head, std::string_view body);
+  void forward_events();
+  bool forward_event(const StreamEvent& event);
+  void send_answer_head(const http::ResponseHead& head);
 
   void abandon(FailureReason reason);
-  void caller_gone();
+  void on_caller_disconnected();
   void on_deadline();
   void finish(std::string_view outcome);
   void note(std::string_view message, std::string_view detail) {
@@ -128,15 +131,15 @@
   }
 
   bool is_stream() const { return route_.kind == RequestKind::kStreaming; }
-  /// Whether an attempt runs.
-  bool at_work() const { return attempt_ && !attempt_->backend.empty(); }
-  /// Whether the caller has the beginning of the stream.
-  bool is_begun() const { return answer_open_ || last_event_.has_value(); }
+  /// Whether an attempt is in progress.
+  bool has_active_attempt() const { return attempt_ && !attempt_->backend.empty(); }
+  /// Whether the caller has received the start of the stream.
+  bool has_stream_started() const { return head_sent_ || last_event_.has_value(); }
 
   Environment& environment_;
   std::shared_ptr<const RouteTable> routes_;
   const Route& route_;
-  const Tenant* tenant_;  ///< Of the routes' configuration; null if nobody's.
+  const Tenant* tenant_;  ///< Owned by `routes_`; null for a request without a tenant.
   RequestLog log_;
   http::Request request_;
   std::shared_ptr<http::ResponseWriter> writer_;
@@ -153,16 +156,17 @@
   StreamBackup backup_;
   AttemptStarter starter_;
   std::set<BackendId> tried_;
-  RepeatLimit repeats_;
+  RetryLimit retry_limit_;
   GuardReports reports_;
   std::shared_ptr<RequestDispatch> dispatch_;
-  std::uint32_t unreachable_ = 0;  ///< Attempts without a connection.
-  bool read_apart_ = false;        ///< A prefill engine was asked; once is enough.
+  std::uint32_t unreachable_ = 0;   ///< Attempts that got no connection.
+  bool prefill_attempted_ = false;  ///< A prefill engine was tried; only one is tried per request.
   bool may_have_run_ = false;
-  std::string_view not_sent_again_;  ///< Why not, after the last attempt; empty: no need.
+  /// Why the last attempt was not retried; empty if no retry was needed.
+  std::string_view retry_denied_reason_;
   bool run_noted_ = false;
-  bool answer_open_ = false;  ///< The caller has the head.
-  /// A back end's own failure, for a caller who would get none of a server's answers otherwise.
+  bool head_sent_ = false;  ///< The caller has received the response head.
+  /// Error answer of a back end. The caller gets it if no later attempt yields an answer.
   struct FailedAnswer {
     http::ResponseHead head;
     std::string body;
--- a/src/gateway/retry_budget.h
+++ b/src/gateway/retry_budget.h
@@ -1,4 +1,4 @@
-// This node's share of a retry budget that all nodes draw on together without talking.
+// This node's share of the fleet's retry budget, which nodes use without communicating.
 #pragma once
 
 #include <cstdint>
@@ -11,41 +11,42 @@
 
 namespace ochrespring::gateway {
 
-/// The whole fleet's bound: within any window, a service gets at most `ratio` times its requests
-/// and `slack` more as repeats.
+/// Bound for the whole fleet: within any window, the retries of a service are at most `ratio` times
+/// its requests plus `slack`.
 struct RetryBudgetSettings {
   double ratio = 0.1;
   double slack = 10;
   Duration window{std::chrono::seconds(10)};
 };
 
-/// Pure; per service. A node spends from its own requests and from its part of the slack, both
-/// reduced by `kCaution`, since windows of nodes do not line up. What a node spent before it was
-/// started again it does not know: for a window it has no part of the slack.
+/// Limits the retries of each service; the caller passes the time in. A node may spend a share of
+/// its own requests and its part of the slack, both reduced by `kWindowSkewFactor`, because the
+/// windows of nodes are not aligned. A restarted node does not know what it spent before, so it
+/// gets no part of the slack during its first window.
 class RetryBudget {
  public:
-  /// `started`: when the node did; none: long ago.
+  /// `started` is the time at which the node started; none if that is longer ago than a window.
   explicit RetryBudget(RetryBudgetSettings settings, std::optional<MonotonicTime> started = {})
-      : settings_(settings), started_(started) {}
+      : settings_(settings), started_at_(started) {}
 
   void set(const RetryBudgetSettings& settings) { settings_ = settings; }
   /// Counts a caller's request.
   void note_request(const ServiceName& service, MonotonicTime now);
-  /// Takes one repeat out of the budget; false if there is none. `nodes` is at least 1.
+  /// Takes one retry from the budget. Returns false if none is left. `nodes` is at least 1.
   bool spend(const ServiceName& service, std::uint32_t nodes, MonotonicTime now);
 
  private:
-  static constexpr double kCaution = 0.8;
+  static constexpr double kWindowSkewFactor = 0.8;
 
   struct Window {
     std::deque<MonotonicTime> requests;
-    std::deque<MonotonicTime> repeats;
+    std::deque<MonotonicTime> retries;
   };
 
-  void forget_old(Window& window, MonotonicTime now) const;
+  void drop_expired(Window& window, MonotonicTime now) const;
 
   RetryBudgetSettings settings_;
-  std::optional<MonotonicTime> started_;
+  std::optional<MonotonicTime> started_at_;
   std::map<ServiceName, Window> windows_;
 };
 
--- a/src/gateway/retry_limit.h
+++ b/src/gateway/retry_limit.h
@@ -1,4 +1,4 @@
-// What limits the sends of one request: the route's attempts, its time, and the retry budget.
+// Limits the sends of one request by the route's attempts, the time left and the retry budget.
 #pragma once
 
 #include <chrono>
@@ -11,38 +11,40 @@
 
 namespace ochrespring::gateway {
 
-/// Less time than this is not worth an attempt.
-inline constexpr Duration kLeastTime = std::chrono::milliseconds(3);
+/// An attempt is not started with less time left.
+inline constexpr Duration kMinAttemptTime = std::chrono::milliseconds(3);
 
-/// One request's; one loop. References outlive it.
-class RepeatLimit {
+/// Serves one request, on one event loop. The referenced objects must outlive it.
+class RetryLimit {
  public:
-  RepeatLimit(Environment& environment, const Route& route)
+  RetryLimit(Environment& environment, const Route& route)
       : environment_(environment), route_(route) {}
 
-  /// An attempt has ended of which a byte may have left.
+  /// Counts an ended attempt of which a byte may have been sent.
   void note_send() { ++sends_; }
   std::uint32_t sends() const { return sends_; }
-  /// A send is not counted as one of the route's attempts.
-  void allow_one_more() { ++uncounted_; }
-  /// Whether the attempt that runs, or with `ended` the last one, is the last of the route.
+  /// Excludes one send from the route's attempts.
+  void exclude_send() { ++excluded_sends_; }
+  /// Whether the current attempt is the last one that the route allows. With `ended`, the attempt
+  /// has already been counted by note_send().
   bool is_last_attempt(bool ended) const {
-    return sends_ + (ended ? 0 : 1) >= route_.most_attempts + uncounted_;
+    return sends_ + (ended ? 0 : 1) >= route_.most_attempts + excluded_sends_;
   }
 
-  /// What stands against one more send; empty: nothing. Takes it out of the budget.
-  std::string_view obstacle(const ServiceName& service, bool trial, Duration left);
-  /// A send that was taken out of the budget did not leave: the next one takes nothing.
-  void note_unsent() { ++paid_; }
-  /// Takes a send out of the retry budget; false: the budget has none.
+  /// Acquires one more send, which is charged to the retry budget. Returns why it is denied, or an
+  /// empty string.
+  std::string_view acquire(const ServiceName& service, bool trial, Duration left);
+  /// Called when a send that was charged to the budget did not take place. The next one is free.
+  void refund() { ++prepaid_; }
+  /// Takes one send from the retry budget. Returns false if none is left.
   bool spend(const ServiceName& service);
 
  private:
   Environment& environment_;
   const Route& route_;
   std::uint32_t sends_ = 0;
-  std::uint32_t uncounted_ = 0;
-  std::uint32_t paid_ = 0;  ///< Taken out of the budget, but not sent.
+  std::uint32_t excluded_sends_ = 0;
+  std::uint32_t prepaid_ = 0;  ///< Sends charged to the budget that did not take place.
 };
 
 }  // namespace ochrespring::gateway
--- a/src/gateway/send_gate.h
+++ b/src/gateway/send_gate.h
@@ -1,4 +1,5 @@
-// Says which back ends may be sent requests, by what they have said of themselves.
+// Interface that decides, from back ends' own rate limits and backoff requests, whether a request
+// may be sent to them.
 #pragma once
 
 #include <cstdint>
@@ -11,47 +12,50 @@
 
 namespace ochrespring::gateway {
 
-/// Order in which requests get what limited back ends take; 0 is the first.
+/// Rank of a request when requests compete for a rate limit; 0 is served first.
 using SendRank = std::uint32_t;
 inline constexpr SendRank kStartedStreamRank = 0;
 
-/// A whole head of a back end's answer that is its own: not misdirected.
+/// A complete response head that the back end itself sent, not one that a misdirected request got
+/// from another back end.
 struct BackendAnswer {
   BackendId backend;
-  MonotonicTime sent{};  ///< When its request was.
+  MonotonicTime sent{};  ///< When the request was sent.
   BackendStatement statement;
 };
 
-/// What becomes of a claim.
+/// Result of a claim.
 enum class ClaimResult : std::uint8_t {
   kGranted,  ///< The request may be sent now.
-  kDenied,   ///< There is no room, and has_room() says so for a while.
-  kPending,  ///< The callback is told, later.
+  kDenied,   ///< There is no room. has_room() returns false for a while.
+  kPending,  ///< The callback receives the result later.
 };
 
-/// When a service's back ends that are closed to this node now take requests again.
+/// When the back ends of a service that currently accept nothing from this node accept requests
+/// again.
 struct RoomForecast {
   Duration wait{};           ///< Until the first of them does.
-  bool backing_off = false;  ///< It has asked for a pause; else it has named a rate.
+  bool backing_off = false;  ///< Otherwise its rate limit is used up.
 };
 
-/// One loop.
+/// Used on one event loop.
 class SendGate {
  public:
   virtual ~SendGate() = default;
   /// Whether the back end may have room for a request, as far as this node knows.
   virtual bool has_room(const BackendId& backend, MonotonicTime now) const = 0;
-  /// To be asked before each send, of whatever kind. `done` is called for kPending alone.
+  /// Must be called before each send of any kind. `done` is called only after kPending.
   virtual ClaimResult claim(const BackendId& backend, SendRank rank,
                             std::function<void(bool granted)> done) = 0;
-  /// Whether the back end has asked this node to send it nothing for now.
-  virtual bool is_paused(const BackendId& backend, MonotonicTime now) const = 0;
-  /// Whether the back end has not asked, since the claim, for nothing more. To be asked when the
-  /// first byte is about to leave: a request may have waited for a permit or a connection.
+  /// Whether the back end is in a backoff period, in which this node sends it nothing.
+  virtual bool is_backing_off(const BackendId& backend, MonotonicTime now) const = 0;
+  /// Whether a claimed request may still be sent. Must be called right before the first byte is
+  /// sent: the back end may have begun a backoff period while the request waited for a permit or a
+  /// connection.
   virtual bool may_send(const BackendId& backend, MonotonicTime now) const = 0;
-  /// A request that was claimed is on its way.
+  /// Called when a claimed request is being sent.
   virtual void note_send(const BackendId& backend, MonotonicTime now) = 0;
-  /// None: all back ends of the service have room.
+  /// None if all back ends of the service have room.
   virtual std::optional<RoomForecast> forecast(const ServiceName& service,
                                                MonotonicTime now) const = 0;
   virtual void note_answer(const BackendAnswer& answer) = 0;
--- a/src/gateway/statistics.h
+++ b/src/gateway/statistics.h
@@ -9,7 +9,7 @@
 
 namespace ochrespring::gateway {
 
-/// Counts of latencies up to bounds in seconds, Prometheus style.
+/// Cumulative latency histogram as in Prometheus, with bounds in seconds.
 class LatencyHistogram {
  public:
   static constexpr std::array<double, 10> kBounds{0.01, 0.025, 0.05, 0.1, 0.25,
@@ -36,27 +36,27 @@
 
 struct GatewayStatistics {
   std::uint64_t requests = 0;
-  std::uint64_t answered = 0;  ///< A back end's whole answer, whatever its status.
+  std::uint64_t answered = 0;  ///< Ended with a complete answer of a back end, whatever its status.
   std::uint64_t refused = 0;   ///< Ended as not run.
   std::uint64_t unknown = 0;   ///< Ended without knowing whether it ran.
-  std::uint64_t broken = 0;    ///< Streams cut after their head.
+  std::uint64_t broken = 0;    ///< Streams aborted after their head was sent.
   std::uint64_t caller_gone = 0;
   std::uint64_t no_route = 0;
   std::uint64_t unknown_key = 0;
   std::uint64_t attempts = 0;
-  std::uint64_t repeats = 0;  ///< Attempts beyond the first, from the retry budget.
+  std::uint64_t retries = 0;  ///< Sends charged to the retry budget.
   std::uint64_t budget_denied = 0;
-  std::uint64_t cache_fetches = 0;  ///< Attempts told to fetch shared parts from another engine.
-  std::uint64_t quarantined = 0;    ///< Ended as requests under which back ends have ended.
-  std::uint64_t rate_limited = 0;   ///< Ended since back ends had as much as they had named.
-  std::uint64_t backing_off = 0;    ///< Ended since back ends had asked this node for a pause.
-  std::uint64_t withdrawn = 0;      ///< Sends kept back while they waited for a connection.
-  std::uint64_t resumed = 0;        ///< Streams taken up at another back end.
+  std::uint64_t cache_fetches = 0;  ///< Attempts that fetch shared parts of a cache.
+  std::uint64_t quarantined = 0;    ///< Ended by the quarantine of the request.
+  std::uint64_t rate_limited = 0;   ///< Ended because the rate limits of back ends were used up.
+  std::uint64_t backing_off = 0;    ///< Ended because back ends had asked this node to back off.
+  std::uint64_t withdrawn = 0;      ///< Sends cancelled by a backoff before connecting.
+  std::uint64_t resumed = 0;  ///< Started streams retried at a back end after their last event.
   std::uint64_t streams_replicated = 0;  ///< Runs sent with a backup engine.
-  std::uint64_t streams_continued = 0;   ///< Broken streams sent on to their backup engine.
-  std::uint64_t continued_whole = 0;     ///< Of those, answered to their end from there.
-  std::uint64_t copies_missing = 0;      ///< Of those, turned away by the backup engine.
-  std::uint64_t not_continued = 0;       ///< Broken streams whose backup engine could not be used.
+  std::uint64_t streams_continued = 0;   ///< Failed streams resumed at their backup engine.
+  std::uint64_t continued_whole = 0;     ///< Resumed streams that the backup engine completed.
+  std::uint64_t copies_missing = 0;      ///< Resumed streams that the backup engine refused.
+  std::uint64_t not_continued = 0;       ///< Failed streams whose backup engine could not be used.
   LatencyHistogram first_byte;           ///< From arrival to the first byte of the answer.
 };
 
--- a/src/gateway/stream_backup.cc
+++ b/src/gateway/stream_backup.cc
@@ -14,25 +14,25 @@
 
 namespace {
 
-/// Up to so many engines are compared one by one. Larger groups are sampled: a node may have as
+/// Larger groups of engines are sampled instead of compared one by one, since a node may have as
 /// little as a tenth of a core.
-constexpr std::size_t kWalkAll = 128;
-/// Engines drawn from a larger group; half of them remain to choose from.
-constexpr std::size_t kSample = 16;
+constexpr std::size_t kMaxFullScan = 128;
+/// Engines sampled from a larger group; the less loaded half of them are candidates.
+constexpr std::size_t kSampleSize = 16;
 
 constexpr std::array<std::string_view, 11> kObstacleNames{"",
                                                           "no backup engine",
-                                                          "has continued before",
-                                                          "server may still work on it",
-                                                          "sent anew instead",
-                                                          "no event has come",
+                                                          "already resumed once",
+                                                          "server may still be running it",
+                                                          "retried instead",
+                                                          "no event received",
                                                           "event without id",
-                                                          "backup engine gone",
-                                                          "backup engine leaves",
-                                                          "backup engine takes nothing now",
+                                                          "backup engine not registered",
+                                                          "backup engine is leaving",
+                                                          "backup engine accepts no requests now",
                                                           "no time left"};
 
-/// Comments carry nothing of the answer.
+/// Events without data are comments, which are not part of the answer.
 bool has_data(const std::string& event) {
   return event.starts_with("data") || event.find("\ndata") != std::string::npos;
 }
@@ -41,15 +41,15 @@
 
 bool wants_backup(const Route& route, const EngineShape* shape, const Prompt* prompt,
                   std::string_view request_id, bool replicates_resumable) {
-  const bool may_be_sent_anew = route.repeatable() && route.most_attempts > 1;
-  if (may_be_sent_anew && !replicates_resumable) {
+  const bool may_be_retried = route.repeatable() && route.most_attempts > 1;
+  if (may_be_retried && !replicates_resumable) {
     return false;
   }
   if (route.kind != RequestKind::kStreaming || shape == nullptr || !shape->backs_up_streams ||
       shape->tokens_per_event == 0 || prompt == nullptr || request_id.empty()) {
     return false;
   }
-  return prompt->expected_output_tokens / shape->tokens_per_event >= kLeastBackedUpEvents;
+  return prompt->expected_output_tokens / shape->tokens_per_event >= kMinReplicatedEvents;
 }
 
 const Backend* BackupChooser::choose(const Query& query, MonotonicTime now) const {
@@ -59,13 +59,17 @@
   }
   SeededRandom random(stable_hash(query.request_id));
   const auto gather = [&](const BackendGroup::Accept& accept) {
-    return group->size() <= kWalkAll ? group->all(accept) : group->sample(kSample, random, accept);
+    return group->size() <= kMaxFullScan ? group->all(accept)
+                                         : group->sample(kSampleSize, random, accept);
   };
-  const auto may_hold = [&](const Backend& engine) { return this->may_hold(engine, query, now); };
-  std::vector<const Backend*> engines = gather(
-      [&](const Backend& engine) { return engine.zone == query.runner->zone && may_hold(engine); });
+  const auto can_hold_copy = [&](const Backend& engine) {
+    return this->can_hold_copy(engine, query, now);
+  };
+  std::vector<const Backend*> engines = gather([&](const Backend& engine) {
+    return engine.zone == query.runner->zone && can_hold_copy(engine);
+  });
   if (engines.empty()) {
-    engines = gather(may_hold);
+    engines = gather(can_hold_copy);
   }
   if (engines.empty()) {
     return nullptr;
@@ -75,15 +79,18 @@
   for (const Backend* engine : engines) {
     loads.push_back(load_of(*engine, now));
   }
-  // Engines that are loaded alike stay in together: idle ones share the copies.
+  // Equally loaded engines are either all included or all excluded, so that idle engines share the
+  // copies.
   const auto middle = loads.begin() + static_cast<std::ptrdiff_t>((loads.size() - 1) / 2);
   std::nth_element(loads.begin(), middle, loads.end());
-  const double most = *middle;
-  return first_by_weight(engines, query.request_id,
-                         [&](const Backend& engine) { return load_of(engine, now) <= most; });
+  const double median_load = *middle;
+  return first_by_weight(engines, query.request_id, [&](const Backend& engine) {
+    return load_of(engine, now) <= median_load;
+  });
 }
 
-bool BackupChooser::may_hold(const Backend& engine, const Query& query, MonotonicTime now) const {
+bool BackupChooser::can_hold_copy(const Backend& engine, const Query& query,
+                                  MonotonicTime now) const {
   if (engine.id == query.runner->id || query.avoid->contains(engine.id) ||
       fleet_.is_leaving(engine) || fleet_.is_doubted(engine.id, now)) {
     return false;
@@ -96,7 +103,7 @@
 
 double BackupChooser::load_of(const Backend& engine, MonotonicTime now) const {
   const BackendLoad* load = loads_.find(engine.id);
-  // What other nodes tell is exact; the engine's report stands in where it shows more.
+  // The counts that other nodes report are exact; the engine's own report is used if it is higher.
   double requests = loads_.others(engine.id, now).requests;
   if (load != nullptr) {
     requests = std::max(requests, load->reported_others(now)) + load->in_flight();
@@ -123,7 +130,7 @@
                                                 MonotonicTime now) {
   engine_ = BackendId();
   head_.reset();
-  begun_ = false;
+  event_received_ = false;
   if (request_id_.empty() || used_) {
     return std::nullopt;
   }
@@ -140,8 +147,8 @@
 }
 
 void StreamBackup::note_event(const StreamEvent& event) {
-  begun_ = begun_ || event.id.has_value();
-  unnumbered_ = unnumbered_ || (!event.id && has_data(event.bytes));
+  event_received_ = event_received_ || event.id.has_value();
+  saw_event_without_id_ = saw_event_without_id_ || (!event.id && has_data(event.bytes));
 }
 
 bool StreamBackup::is_replaced(const BackendId& id, MonotonicTime now) const {
@@ -149,32 +156,34 @@
   return load != nullptr && load->replaced(now);
 }
 
-bool StreamBackup::is_runner_gone(const BackendId& runner, MonotonicTime now) const {
+bool StreamBackup::has_runner_terminated(const BackendId& runner, MonotonicTime now) const {
   return replicates() && !used_ && runner == runner_ &&
          (fleet_.find(runner) == nullptr || is_replaced(runner, now));
 }
 
-BackupObstacle StreamBackup::obstacle(const BrokenRun& run, MonotonicTime now) const {
+BackupObstacle StreamBackup::obstacle(const FailedRun& run, MonotonicTime now) const {
   if (!replicates()) {
     return BackupObstacle::kNoBackup;
   }
   if (used_) {
-    return BackupObstacle::kUsed;
+    return BackupObstacle::kAlreadyUsed;
   }
-  if (!is_connection_break(run.error) && !run.runner_gone) {
-    return BackupObstacle::kRunnerMayWork;
+  if (!is_connection_break(run.error) && !run.runner_terminated) {
+    return BackupObstacle::kRunnerMayBeRunning;
   }
-  // A kept connection that has died says nothing of its server, which mostly never read the request
-  // then: there is no copy, and asking for it costs a unit of the retry budget.
-  if (run.error == http::HttpErrc::kStaleConnection && run.repeatable && !run.runner_gone) {
-    return BackupObstacle::kUnsent;
+  // A kept-alive connection that was already closed says nothing about its server, which usually
+  // never received the request. There is no copy then, and asking for it would cost one unit of the
+  // retry budget.
+  if (run.error == http::HttpErrc::kStaleConnection && run.retry_allowed &&
+      !run.runner_terminated) {
+    return BackupObstacle::kRetryPreferred;
   }
-  // An engine that took the request without a copy would run it a second time: one that crashed
-  // under its prompt was seen to have made none.
-  if (!begun_) {
-    return BackupObstacle::kNotBegun;
+  // An engine that accepts the request without having a copy would run it a second time. An engine
+  // that crashed during prefill was observed to have made no copy.
+  if (!event_received_) {
+    return BackupObstacle::kNoEventReceived;
   }
-  if (unnumbered_) {
+  if (saw_event_without_id_) {
     return BackupObstacle::kUnknownPosition;
   }
   return run.has_time ? engine_obstacle(now) : BackupObstacle::kNoTime;
@@ -183,14 +192,14 @@
 BackupObstacle StreamBackup::engine_obstacle(MonotonicTime now) const {
   const Backend* backup = engine();
   if (backup == nullptr || is_replaced(engine_, now)) {
-    return BackupObstacle::kGone;
+    return BackupObstacle::kNotRegistered;
   }
   if (fleet_.is_leaving(*backup)) {
     return BackupObstacle::kLeaving;
   }
   const bool open =
       gate_ == nullptr || (gate_->has_room(engine_, now) && gate_->may_send(engine_, now));
-  return open ? BackupObstacle::kNone : BackupObstacle::kClosed;
+  return open ? BackupObstacle::kNone : BackupObstacle::kNotAccepting;
 }
 
 const Backend* StreamBackup::engine() const {
--- a/src/gateway/stream_observation.cc
+++ b/src/gateway/stream_observation.cc
@@ -20,10 +20,10 @@
   }
   last_event_ = now;
   events_to_come_ -= std::min<std::uint64_t>(events_to_come_, 1);
-  if (!is_long_ && events_to_come_ >= kLongStreamEvents) {
+  if (!is_long_ && events_to_come_ >= kMinLongStreamEvents) {
     is_long_ = true;
     observer_->begin_long_stream(engine_, now);
-  } else if (events_to_come_ < kLongStreamEvents) {
+  } else if (events_to_come_ < kMinLongStreamEvents) {
     end(now);
   }
   if (!observes_gaps_) {
@@ -31,7 +31,7 @@
   }
   if (!window_start_) {
     window_start_ = now;
-  } else if (++gaps_ == kGapsObserved) {
+  } else if (++gaps_ == kGapsPerObservation) {
     observer_->note_gaps({.engine = engine_, .gaps = gaps_, .took = now - *window_start_}, now);
     window_start_ = now;
     gaps_ = 0;
--- a/src/gateway/stream_observation.h
+++ b/src/gateway/stream_observation.h
@@ -10,40 +10,42 @@
 
 namespace ochrespring::gateway {
 
-/// Belongs to one attempt: the time between two attempts of a resumed stream is never observed.
-/// Does nothing without an observer. One loop.
+/// Belongs to one attempt, so that the time between two attempts of a stream is never observed.
+/// Does nothing without an observer. Used on one event loop.
 class StreamObservation {
  public:
   StreamObservation() = default;
-  /// `expected_tokens`: of the whole output; none: not known. `events_before`: sent by attempts
-  /// before this one.
+  /// `expected_tokens` is the size of the whole output, none if unknown. `events_before` is the
+  /// number of events that earlier attempts have sent.
   StreamObservation(EngineObserver* observer, BackendId engine,
                     std::optional<std::uint64_t> expected_tokens, std::uint64_t events_before);
   ~StreamObservation() { end(last_event_); }
   StreamObservation(const StreamObservation&) = delete;
   StreamObservation& operator=(const StreamObservation&) = delete;
 
-  /// An event that the caller did not have before.
+  /// Records an event that the caller did not have before.
   void note_event(MonotonicTime now);
-  /// The caller does not read: gaps are not the engine's from now on. Events that wait in buffers
-  /// arrive at once when reading goes on, so the rest of the stream is not observed either.
-  void note_not_read() { observes_gaps_ = false; }
-  /// The attempt has ended.
+  /// Called when the caller does not read. From then on gaps are not caused by the engine, and
+  /// buffered events arrive together when reading continues, so gaps are not observed for the rest
+  /// of the stream.
+  void note_reading_stopped() { observes_gaps_ = false; }
+  /// Called when the attempt has ended.
   void end(MonotonicTime now);
 
  private:
-  /// Streams with at least this many events to come are long.
-  static constexpr std::uint64_t kLongStreamEvents = 4;
-  /// Gaps that make one observation. Events are noted when this node's loop runs: on a node with
-  /// 0.09 of a core it can be late by 90 ms, twice a typical gap, which single gaps would show.
-  static constexpr std::uint32_t kGapsObserved = 8;
+  /// Streams with at least this many events to come count as long.
+  static constexpr std::uint64_t kMinLongStreamEvents = 4;
+  /// Number of gaps averaged in one observation. Events are recorded when this node's event loop
+  /// runs, which is up to 90 ms late on a node with 0.09 of a core. That is twice a typical gap and
+  /// would distort single gaps.
+  static constexpr std::uint32_t kGapsPerObservation = 8;
 
   EngineObserver* observer_ = nullptr;
   BackendId engine_;
   std::uint64_t events_to_come_ = 0;
   bool is_long_ = false;
   bool observes_gaps_ = true;
-  std::uint32_t gaps_ = 0;  ///< Since `window_start_`.
+  std::uint32_t gaps_ = 0;  ///< Gaps since `window_start_`.
   std::optional<MonotonicTime> window_start_;
   MonotonicTime last_event_{};
 };
--- a/src/gateway/tests/backed_off_request_test.cc
+++ b/src/gateway/tests/backed_off_request_test.cc
@@ -1,4 +1,4 @@
-// Requests at back ends that have asked for nothing more.
+// Tests of requests to back ends that have asked this node to back off.
 #include <doctest/doctest.h>
 
 #include <chrono>
@@ -14,22 +14,23 @@
 namespace {
 
 struct BackedOffFixture : GatedFixture {
-  /// The back end asks for nothing more.
-  void pause(const char* id) {
+  /// Starts a backoff period of the back end.
+  void back_off(const char* id) {
     gate.full.insert(BackendId(id));
-    gate.paused.insert(BackendId(id));
+    gate.backed_off.insert(BackendId(id));
     gate.backing_off = true;
   }
-  void pause_all() {
+  void back_off_all() {
     for (const char* id : {"b1", "b2", "b3"}) {
-      pause(id);
+      back_off(id);
     }
   }
   std::string backend_of_last() {
     const std::string& address = last().request.endpoint.value();
     return address.substr(0, address.find(':'));
   }
-  /// The connection is there; nothing leaves if the request is not wanted any more.
+  /// Reports that the connection is established. The send is withdrawn if the back end backs off by
+  /// now; returns whether it takes place.
   bool connect() {
     const bool leaves = last().request.may_leave();
     if (!leaves) {
@@ -41,53 +42,53 @@
 
 }  // namespace
 
-TEST_CASE_FIXTURE(BackedOffFixture,
-                  "a request that waits for a connection to a back end that asks to back off "
-                  "meanwhile goes elsewhere") {
+TEST_CASE_FIXTURE(
+    BackedOffFixture,
+    "a request that waits for a connection goes elsewhere if the back end asks to back off") {
   const auto caller = request("/once/x");
   const std::string first = backend_of_last();
-  pause(first.c_str());
+  back_off(first.c_str());
   CHECK_FALSE(connect());
   REQUIRE(sends() == 2);
   CHECK(backend_of_last() != first);
   CHECK(connect());
   last().answer(200, {signature()}, "ok");
   CHECK(caller->head.status == 200);
-  CHECK(statistics.repeats == 0);
+  CHECK(statistics.retries == 0);
   CHECK(statistics.withdrawn == 1);
 }
 
 TEST_CASE_FIXTURE(BackedOffFixture,
-                  "a prompt whose reader asks to back off while it waits for a connection is read "
-                  "elsewhere, and a reader's cache outlives a runner that does") {
+                  "if a prefill engine backs off before it is connected another one is used, and "
+                  "its cache is kept if the runner backs off") {
   add_backend("e1", "llm", EngineRole::kDecode);
   add_backend("e2", "llm", EngineRole::kDecode);
   add_backend("p1", "llm", EngineRole::kPrefill);
   add_backend("p2", "llm", EngineRole::kPrefill);
   const auto caller = request(
       "/stream/x", {{names.prompt_parts, "aa:6300,bb:2000"}, {names.token_counts, "8300,20"}});
-  const std::string reader = backend_of_last();
-  REQUIRE(reader.starts_with("p"));
-  pause(reader.c_str());
+  const std::string prefill_engine = backend_of_last();
+  REQUIRE(prefill_engine.starts_with("p"));
+  back_off(prefill_engine.c_str());
   CHECK_FALSE(connect());
-  const std::string other_reader = backend_of_last();
-  CHECK(other_reader.starts_with("p"));
-  CHECK(other_reader != reader);
+  const std::string other_prefill_engine = backend_of_last();
+  CHECK(other_prefill_engine.starts_with("p"));
+  CHECK(other_prefill_engine != prefill_engine);
   last().answer(200, {}, "handle=1");
   const std::string runner = backend_of_last();
   REQUIRE(runner.starts_with("e"));
-  pause(runner.c_str());
+  back_off(runner.c_str());
   CHECK_FALSE(connect());
   CHECK(backend_of_last() != runner);
-  CHECK(last().header(names.cache_source) == other_reader + ":1/1");
+  CHECK(last().header(names.cache_source) == other_prefill_engine + ":1/1");
   CHECK(transport.forgotten.empty());
 }
 
-TEST_CASE_FIXTURE(BackedOffFixture, "a permit for a back end that backs off by now is not used") {
-  gate.asks = true;
+TEST_CASE_FIXTURE(BackedOffFixture, "a permit is not used if its back end has begun to back off") {
+  gate.claims_pending = true;
   request("/once/x");
   const BackendId first = gate.claims.front().first;
-  gate.paused.insert(first);
+  gate.backed_off.insert(first);
   gate.full.insert(first);
   gate.settle(true);
   CHECK(sends() == 0);
@@ -96,35 +97,35 @@
 }
 
 TEST_CASE_FIXTURE(BackedOffFixture,
-                  "where all back off a request is refused at once as not run, with the time to "
-                  "the first end, and nothing is taken out of the budget") {
-  const auto turned_away = request("/once-twice/x");
-  pause_all();
+                  "if all back ends back off a request is refused as not run, with the time until "
+                  "the first backoff ends, and without charge to the retry budget") {
+  const auto refused_caller = request("/once-twice/x");
+  back_off_all();
   last().answer(503, {{names.not_run, "1"}, {names.retry_after, "3"}}, "");
   const auto later = request("/idempotent/x");
-  for (const auto& caller : {turned_away, later}) {
+  for (const auto& caller : {refused_caller, later}) {
     REQUIRE(caller->finished);
     CHECK(caller->head.status == 503);
     CHECK(std::stod(caller->header("retry-after")) == doctest::Approx(0.7));
     CHECK(caller->body.find("backing-off") != std::string::npos);
   }
   CHECK(sends() == 1);
-  CHECK(statistics.repeats == 0);
+  CHECK(statistics.retries == 0);
   CHECK(statistics.budget_denied == 0);
   CHECK(statistics.backing_off == 2);
 }
 
 TEST_CASE_FIXTURE(BackedOffFixture,
-                  "a caller that is turned away once comes back soon where others have room") {
+                  "Retry-After is short if only the refusing back end backs off") {
   const auto caller = request("/once/x");
-  pause(backend_of_last().c_str());
+  back_off(backend_of_last().c_str());
   last().answer(503, {{names.not_run, "1"}, {names.retry_after, "3"}}, "");
   REQUIRE(caller->finished);
   CHECK(std::stod(caller->header("retry-after")) < 0.1);
 }
 
 TEST_CASE_FIXTURE(BackedOffFixture,
-                  "a stream that breaks off is taken up where no back end has asked for nothing") {
+                  "a failed stream is retried at a back end that does not back off") {
   add_backend("e1", "llm", EngineRole::kDecode);
   add_backend("e2", "llm", EngineRole::kDecode);
   add_backend("e3", "llm", EngineRole::kDecode);
@@ -132,29 +133,30 @@
   const std::string first = backend_of_last();
   last().observer->on_head({200, {signature()}});
   last().observer->on_body("id: 1\ndata: x\n\n");
-  const std::string paused = first == "e1" ? "e2" : "e1";
-  pause(paused.c_str());
+  const std::string backing_off = first == "e1" ? "e2" : "e1";
+  back_off(backing_off.c_str());
   last().fail(http::HttpErrc::kReset, true);
   REQUIRE(sends() == 2);
   CHECK(backend_of_last() != first);
-  CHECK(backend_of_last() != paused);
+  CHECK(backend_of_last() != backing_off);
   CHECK(last().header(names.last_event) == "1");
 }
 
-TEST_CASE_FIXTURE(BackedOffFixture, "a reader that backs off is not asked to free a cache") {
+TEST_CASE_FIXTURE(BackedOffFixture,
+                  "a prefill engine that backs off gets no call to release a cache") {
   add_backend("e1", "llm", EngineRole::kDecode);
   add_backend("p1", "llm", EngineRole::kPrefill);
   const auto caller = request(
       "/stream/x", {{names.prompt_parts, "aa:6300,bb:2000"}, {names.token_counts, "8300,20"}});
   REQUIRE(backend_of_last() == "p1");
   last().answer(200, {}, "handle=1");
-  pause("p1");
-  caller->leave();
+  back_off("p1");
+  caller->disconnect();
   CHECK(transport.forgotten.empty());
 }
 
 TEST_CASE_FIXTURE(BackedOffFixture,
-                  "a back end that turns requests away without a time is asked less often") {
+                  "a back end that refuses requests without Retry-After gets fewer requests") {
   std::size_t refused = 0;
   for (int i = 0; i != 60; ++i) {
     const auto caller = request("/once-twice/x");
@@ -170,8 +172,7 @@
   CHECK(refused <= 6);
 }
 
-TEST_CASE_FIXTURE(BackedOffFixture,
-                  "a prompt is not believed to be kept by an engine that turned it away") {
+TEST_CASE_FIXTURE(BackedOffFixture, "an engine that refused a prompt is not assumed to cache it") {
   add_backend("e1", "llm", EngineRole::kDecode);
   add_backend("e2", "llm", EngineRole::kDecode);
   request("/resumable/x",
--- a/src/gateway/tests/engine_observer_test.cc
+++ b/src/gateway/tests/engine_observer_test.cc
@@ -104,7 +104,7 @@
   last().observer->on_head({200, {signature()}});
   play(2, milliseconds(40));
   CHECK(seen.long_streams[BackendId("e1")] == 1);
-  caller->leave();
+  caller->disconnect();
   CHECK(seen.long_streams[BackendId("e1")] == 0);
 }
 
--- a/src/gateway/tests/fake_gate.h
+++ b/src/gateway/tests/fake_gate.h
@@ -1,4 +1,4 @@
-// A gateway before a gate that says what the test wants.
+// A gateway with a send gate that the test controls.
 #pragma once
 
 #include <chrono>
@@ -28,17 +28,17 @@
       full.insert(backend);
       return ClaimResult::kDenied;
     }
-    if (!asks) {
+    if (!claims_pending) {
       return ClaimResult::kGranted;
     }
     claims.emplace_back(backend, std::move(done));
     return ClaimResult::kPending;
   }
-  bool is_paused(const BackendId& backend, MonotonicTime /*now*/) const override {
-    return paused.contains(backend);
+  bool is_backing_off(const BackendId& backend, MonotonicTime /*now*/) const override {
+    return backed_off.contains(backend);
   }
   bool may_send(const BackendId& backend, MonotonicTime /*now*/) const override {
-    return !paused.contains(backend);
+    return !backed_off.contains(backend);
   }
   void note_send(const BackendId& backend, MonotonicTime /*now*/) override {
     sent.push_back(backend);
@@ -51,7 +51,7 @@
   }
   void note_answer(const BackendAnswer& answer) override { answers.push_back(answer); }
 
-  /// Settles the oldest claim.
+  /// Grants or denies the oldest pending claim.
   void settle(bool granted) {
     auto [backend, done] = std::move(claims.front());
     claims.erase(claims.begin());
@@ -62,17 +62,17 @@
   }
 
   std::set<BackendId> full;
-  std::set<BackendId> paused;
+  std::set<BackendId> backed_off;
   std::vector<BackendId> sent;
   bool backing_off = false;
   std::set<BackendId> denies;
-  bool asks = false;
+  bool claims_pending = false;
   std::vector<SendRank> ranks;
   std::vector<std::pair<BackendId, std::function<void(bool)>>> claims;
   std::vector<BackendAnswer> answers;
 };
 
-/// Three ordinary back ends, `b1` to `b3`.
+/// A gateway with three back ends, `b1` to `b3`, that are not engines.
 struct GatedFixture : GatewayFixture {
   GatedFixture() {
     for (const char* id : {"b1", "b2", "b3"}) {
--- a/src/gateway/tests/gateway_fixture.h
+++ b/src/gateway/tests/gateway_fixture.h
@@ -1,4 +1,4 @@
-// A gateway under virtual time with back ends and callers that the test plays.
+// A gateway under virtual time with fake back ends and callers that the test controls.
 #pragma once
 
 #include <doctest/doctest.h>
@@ -18,7 +18,8 @@
 
 namespace ochrespring::gateway::testing {
 
-/// One exchange that the gateway has started. The test answers through `observer` while `open`.
+/// One exchange that the gateway has started. The test answers it through `observer` while it is
+/// `open`.
 struct FakeExchange {
   http::ClientRequest request;
   http::ResponseObserver* observer = nullptr;
@@ -39,7 +40,7 @@
   }
   void fail(http::HttpErrc code, bool sent) {
     REQUIRE(open);
-    observer->on_failure({code, "played"}, sent);
+    observer->on_failure({code, "injected"}, sent);
   }
 };
 
@@ -75,7 +76,7 @@
   };
 };
 
-/// What a caller has received.
+/// Records what a caller has received.
 class FakeCaller final : public http::ResponseWriter {
  public:
   void send_head(const http::ResponseHead& received) override { head = received; }
@@ -83,12 +84,12 @@
   void finish() override { finished = true; }
   void abort() override { aborted = true; }
   std::size_t buffered_bytes() const override { return buffered; }
-  bool closed() const override { return gone; }
+  bool closed() const override { return disconnected; }
   void on_closed(std::function<void()> callback) override { closed_ = std::move(callback); }
   void on_drained(std::function<void()> /*callback*/) override {}
 
-  void leave() {
-    gone = true;
+  void disconnect() {
+    disconnected = true;
     if (const auto callback = std::exchange(closed_, nullptr)) {
       callback();
     }
@@ -100,16 +101,16 @@
 
   http::ResponseHead head;
   std::string body;
-  std::size_t buffered = 0;  ///< Bytes that the caller has not taken.
+  std::size_t buffered = 0;  ///< Bytes that the caller has not read.
   bool finished = false;
   bool aborted = false;
-  bool gone = false;
+  bool disconnected = false;
 
  private:
   std::function<void()> closed_;
 };
 
-/// Engines' calls in a form of the test's own.
+/// Engine calls in a simple format for tests.
 class FakeEngineCalls final : public EngineCalls {
  public:
   std::optional<std::string> read_cache_handle(std::string_view body) const override {
@@ -131,7 +132,7 @@
   }
 };
 
-/// Keeps how requests ended.
+/// Records the `not_sent_again` field of each "request ended" line.
 class EndLogger final : public logging::Logger {
  public:
   void write(const logging::Record& record) override {
@@ -148,8 +149,8 @@
   std::vector<std::string> not_sent_again;
 };
 
-/// One gateway with routes `/idempotent/`, `/once/`, `/stream/` and `/resumable/` of host `h`, and
-/// an engine service `llm` beside the ordinary service `relay`.
+/// A gateway with routes `/idempotent/`, `/once/`, `/once-twice/`, `/stream/` and `/resumable/` of
+/// host `h`, an engine service `llm` and a service `relay` without engines.
 struct GatewayFixture {
   simulation::VirtualTime time;
   SeededRandom random{7};
@@ -166,7 +167,7 @@
   bool store_answers = true;
   Gateway gateway{environment(), [this](auto done) { done(store_answers); }};
 
-  /// What a gateway shares; a test adds what its own has besides.
+  /// The environment of the gateway. Tests may add optional members for a gateway of their own.
   Environment environment() {
     return {time,   time,  transport, fleet,      loads,  placement,        budget,
             shares, names, engines,   statistics, logger, [] { return 1U; }};
@@ -235,7 +236,7 @@
     return caller;
   }
 
-  /// The newest exchange.
+  /// The latest exchange.
   FakeExchange& last() { return *transport.started.back(); }
   std::size_t sends() const { return transport.started.size(); }
   http::Header signature() const { return {names.signature, "sig"}; }
--- a/src/gateway/tests/rate_limited_request_test.cc
+++ b/src/gateway/tests/rate_limited_request_test.cc
@@ -1,4 +1,4 @@
-// Requests at back ends that have named a rate limit.
+// Tests of requests to back ends that have set a rate limit.
 #include <doctest/doctest.h>
 
 #include <chrono>
@@ -10,7 +10,7 @@
 using namespace std::chrono_literals;
 using ochrespring::gateway::testing::GatedFixture;
 
-TEST_CASE_FIXTURE(GatedFixture, "a denied request goes to a back end that has room") {
+TEST_CASE_FIXTURE(GatedFixture, "a request denied by one back end is sent to one that has room") {
   gate.denies = {BackendId("b1"), BackendId("b2")};
   const auto caller = request("/once/x");
   REQUIRE(sends() == 1);
@@ -20,9 +20,8 @@
   CHECK(statistics.rate_limited == 0);
 }
 
-TEST_CASE_FIXTURE(
-    GatedFixture,
-    "where none has room a request is refused at once as not run, with the time to come back") {
+TEST_CASE_FIXTURE(GatedFixture,
+                  "if no back end has room a request is refused as not run, with Retry-After") {
   gate.denies = {BackendId("b1"), BackendId("b2"), BackendId("b3")};
   const auto caller = request("/once/x");
   CHECK(sends() == 0);
@@ -33,9 +32,10 @@
   CHECK(statistics.rate_limited == 1);
 }
 
-TEST_CASE_FIXTURE(GatedFixture,
-                  "a request is sent when its permit comes, elsewhere when it does not") {
-  gate.asks = true;
+TEST_CASE_FIXTURE(
+    GatedFixture,
+    "a request is sent when its permit is granted, and to another back end when it is denied") {
+  gate.claims_pending = true;
   const auto caller = request("/once/x");
   CHECK(sends() == 0);
   gate.settle(false);
@@ -46,8 +46,8 @@
   CHECK(caller->head.status == 200);
 }
 
-TEST_CASE_FIXTURE(GatedFixture, "a permit for a back end that has gone meanwhile is not used") {
-  gate.asks = true;
+TEST_CASE_FIXTURE(GatedFixture, "a permit is not used if its back end is no longer registered") {
+  gate.claims_pending = true;
   request("/once/x");
   fleet.remove(gate.claims.front().first);
   gate.settle(true);
@@ -58,10 +58,10 @@
 }
 
 TEST_CASE_FIXTURE(GatedFixture,
-                  "a request whose caller leaves, or whose time is over, while it waits for a "
-                  "permit is not sent") {
-  gate.asks = true;
-  request("/once/x")->leave();
+                  "a request that waits for a permit is not sent after its caller disconnected or "
+                  "its deadline passed") {
+  gate.claims_pending = true;
+  request("/once/x")->disconnect();
   const auto late = request("/once/x", {{names.deadline, "50"}});
   advance(60ms);
   CHECK(late->head.status == 503);
@@ -71,18 +71,20 @@
   CHECK(gated.running() == 0);
 }
 
-TEST_CASE_FIXTURE(GatedFixture, "a stop ends what waits for a permit as not run") {
-  gate.asks = true;
+TEST_CASE_FIXTURE(
+    GatedFixture,
+    "requests that wait for a permit are answered as not run when the process stops") {
+  gate.claims_pending = true;
   const auto caller = request("/once/x");
   CHECK(gated.running() == 1);
-  gated.end_all();
+  gated.finish_all();
   CHECK(caller->head.status == 503);
   gate.settle(true);
   CHECK(sends() == 0);
 }
 
 TEST_CASE_FIXTURE(GatedFixture,
-                  "a stream that has begun goes before new requests, and these by priority") {
+                  "a started stream ranks before new requests, which rank by priority") {
   add_backend("e1", "llm", EngineRole::kDecode);
   request("/once/x");
   request("/resumable/x", {{names.last_event, "3"}});
@@ -91,10 +93,10 @@
   CHECK(gate.ranks[1] == kStartedStreamRank);
 }
 
-TEST_CASE_FIXTURE(GatedFixture, "reading a prompt apart needs a permit, too") {
+TEST_CASE_FIXTURE(GatedFixture, "a prefill call needs a permit, too") {
   add_backend("e1", "llm", EngineRole::kDecode);
   add_backend("p1", "llm", EngineRole::kPrefill);
-  gate.asks = true;
+  gate.claims_pending = true;
   request("/stream/x", {{names.prompt_parts, "aa:6300,bb:2000"}, {names.token_counts, "8300,20"}});
   REQUIRE(gate.claims.size() == 1);
   CHECK(gate.claims.front().first == BackendId("p1"));
@@ -105,8 +107,9 @@
   CHECK(gate.claims.front().first == BackendId("e1"));
 }
 
-TEST_CASE_FIXTURE(GatedFixture,
-                  "every answer tells of a limit but that of another back end at the address") {
+TEST_CASE_FIXTURE(
+    GatedFixture,
+    "every answer reports a limit, except that of another back end at the same address") {
   request("/once-twice/x");
   last().answer(503, {{names.not_run, "1"}, {names.rate_limit, "1.3"}}, "");
   REQUIRE(gate.answers.size() == 1);
@@ -115,7 +118,9 @@
   CHECK(gate.answers.size() == 1);
 }
 
-TEST_CASE_FIXTURE(GatedFixture, "a silent back end is not left while limits leave no other") {
+TEST_CASE_FIXTURE(
+    GatedFixture,
+    "a request stays at an unresponsive back end while rate limits exclude all others") {
   const auto caller = request("/idempotent/x");
   REQUIRE(sends() == 1);
   for (const char* id : {"b1", "b2", "b3"}) {
@@ -131,7 +136,8 @@
   CHECK(caller->head.status == 200);
 }
 
-TEST_CASE_FIXTURE(GatedFixture, "a late answer is delivered where limits left no other") {
+TEST_CASE_FIXTURE(GatedFixture,
+                  "a late answer is delivered if rate limits excluded all other back ends") {
   const auto caller = request("/idempotent/x");
   for (const char* id : {"b1", "b2", "b3"}) {
     gate.full.insert(BackendId(id));
--- a/src/gateway/tests/request_fingerprint_test.cc
+++ b/src/gateway/tests/request_fingerprint_test.cc
@@ -1,4 +1,4 @@
-// What makes two requests the same.
+// Tests of which parts of a request its fingerprint covers.
 #include "gateway/request_fingerprint.h"
 
 #include <doctest/doctest.h>
@@ -17,13 +17,13 @@
 
 }  // namespace
 
-TEST_CASE("ids, deadlines and the last event do not make another request") {
+TEST_CASE("request id, deadline and last event do not change the fingerprint") {
   http::Request again = make_request();
   again.headers = {{"x-request-id", "r2"}, {"host", "h"}, {"x-deadline-ms", "7"}, {"last", "3"}};
   CHECK(fingerprint_of(again, "t") == fingerprint_of(make_request(), "t"));
 }
 
-TEST_CASE("caller, method, host, path, query and body each make another request") {
+TEST_CASE("caller, method, host, path, query and body each change the fingerprint") {
   std::set<RequestFingerprint> seen{fingerprint_of(make_request(), "t"),
                                     fingerprint_of(make_request(), "u")};
   http::Request other = make_request();
--- a/src/gateway/tests/request_guard_benchmark.cc
+++ b/src/gateway/tests/request_guard_benchmark.cc
@@ -1,8 +1,8 @@
-// What a request's fingerprint costs. Before there was a guard no request had one; now it is made
-// of a request that breaks off, and of each while anything is held against any.
+// Measures the cost of a request fingerprint. It is computed for each failed attempt, and for every
+// request while any request is suspected.
 //
-// Bodies of 0, 1.5, 17 and 100 kB: 0.20, 0.41, 1.4 and 7.3 us (release build, one core of a virtual
-// machine at 2 GHz, median of 3).
+// Results for bodies of 0, 1.5, 17 and 100 kB: 0.20, 0.41, 1.4 and 7.3 us (release build, one core
+// of a virtual machine at 2 GHz, median of 3 runs).
 #include <benchmark/benchmark.h>
 
 #include <cstddef>
--- a/src/gateway/tests/request_guard_test.cc
+++ b/src/gateway/tests/request_guard_test.cc
@@ -1,4 +1,4 @@
-// Requests that are kept from back ends because back ends have ended under them.
+// Tests of requests that are quarantined because back ends terminated while running them.
 #include "gateway/request_guard.h"
 
 #include <doctest/doctest.h>
@@ -16,27 +16,27 @@
 
 namespace {
 
-/// A guard that says what the test wants.
+/// A guard that the test controls.
 class FakeGuard final : public RequestGuard {
  public:
-  bool watching() const override { return watches; }
-  SendVerdict judge(const RequestFingerprint& /*request*/) override {
-    CHECK(watches);
-    ++judged;
+  bool is_active() const override { return active; }
+  SendVerdict check(const RequestFingerprint& /*request*/) override {
+    CHECK(active);
+    ++checked;
     return verdict;
   }
   Duration retry_after(const RequestFingerprint& /*request*/) const override { return 10s; }
   void claim_trial(const RequestFingerprint& /*request*/, std::function<void(bool)> done) override {
     claims.push_back(std::move(done));
   }
-  void note_break(const FailedAttempt& attempt) override { breaks.push_back(attempt); }
+  void note_failure(const FailedAttempt& attempt) override { failures.push_back(attempt); }
   void note_answer(const AnsweredAttempt& attempt) override { answers.push_back(attempt); }
 
-  bool watches = true;
+  bool active = true;
   SendVerdict verdict = SendVerdict::kAllowed;
-  int judged = 0;
+  int checked = 0;
   std::vector<std::function<void(bool)>> claims;
-  std::vector<FailedAttempt> breaks;
+  std::vector<FailedAttempt> failures;
   std::vector<AnsweredAttempt> answers;
 };
 
@@ -49,8 +49,8 @@
       add_backend(id, "llm", EngineRole::kDecode);
     }
   }
-  /// The fingerprint of what send() sends.
-  static RequestFingerprint print_of(const std::string& path) {
+  /// The fingerprint of a request that ask() sends.
+  static RequestFingerprint fingerprint_for(const std::string& path) {
     return fingerprint_of({"POST", path, "", {{"host", "h"}}, "body"}, "");
   }
 
@@ -66,169 +66,170 @@
 
 }  // namespace
 
-TEST_CASE("a quarantined request is refused at once as not run, with when to come back") {
-  GuardedFixture world;
-  world.guard.verdict = SendVerdict::kRefused;
+TEST_CASE("a quarantined request is refused as not run, with Retry-After") {
+  GuardedFixture fixture;
+  fixture.guard.verdict = SendVerdict::kRefused;
   for (const char* path : {"/once/x", "/idempotent/x", "/stream/x", "/resumable/x"}) {
-    const auto caller = world.ask(path);
+    const auto caller = fixture.ask(path);
     CHECK(caller->head.status == 503);
     CHECK(std::stod(caller->header("retry-after")) == doctest::Approx(10));
   }
-  CHECK(world.sends() == 0);
-  CHECK(world.statistics.quarantined == 4);
+  CHECK(fixture.sends() == 0);
+  CHECK(fixture.statistics.quarantined == 4);
 }
 
-TEST_CASE("one that has come to be quarantined after a send may have run, and is not sent again") {
-  GuardedFixture world;
-  const auto caller = world.ask("/resumable/x");
-  REQUIRE(world.sends() == 1);
-  world.guard.verdict = SendVerdict::kRefused;
-  world.last().fail(http::HttpErrc::kReset, true);
+TEST_CASE("a request quarantined after a send is answered as unknown and not retried") {
+  GuardedFixture fixture;
+  const auto caller = fixture.ask("/resumable/x");
+  REQUIRE(fixture.sends() == 1);
+  fixture.guard.verdict = SendVerdict::kRefused;
+  fixture.last().fail(http::HttpErrc::kReset, true);
   CHECK(caller->head.status == 502);
   CHECK(caller->header("retry-after").empty());
-  CHECK(world.sends() == 1);
+  CHECK(fixture.sends() == 1);
 }
 
-TEST_CASE("a stream that was begun is not resumed once its request is quarantined") {
-  GuardedFixture world;
-  const auto caller = world.ask("/resumable/x");
-  world.last().observer->on_head({200, {world.signature()}});
-  world.last().observer->on_body("id: 1\ndata: x\n\n");
-  world.guard.verdict = SendVerdict::kRefused;
-  world.last().fail(http::HttpErrc::kTruncated, true);
+TEST_CASE("a started stream is not retried once its request is quarantined") {
+  GuardedFixture fixture;
+  const auto caller = fixture.ask("/resumable/x");
+  fixture.last().observer->on_head({200, {fixture.signature()}});
+  fixture.last().observer->on_body("id: 1\ndata: x\n\n");
+  fixture.guard.verdict = SendVerdict::kRefused;
+  fixture.last().fail(http::HttpErrc::kTruncated, true);
   CHECK(caller->aborted);
-  CHECK(world.sends() == 1);
+  CHECK(fixture.sends() == 1);
 }
 
-TEST_CASE("requests that wait for a back end end when they come to be quarantined, others go on") {
-  GuardedFixture world;
-  const auto waiting = world.ask("/resumable/x");
-  const auto other = world.ask("/resumable/y");
-  const auto begun = world.ask("/stream/x");
-  world.last().observer->on_head({200, {world.signature()}});
-  world.last().observer->on_body("id: 1\ndata: x\n\n");
+TEST_CASE("quarantine ends requests that wait for a back end, but no others") {
+  GuardedFixture fixture;
+  const auto waiting = fixture.ask("/resumable/x");
+  const auto other = fixture.ask("/resumable/y");
+  const auto begun = fixture.ask("/stream/x");
+  fixture.last().observer->on_head({200, {fixture.signature()}});
+  fixture.last().observer->on_body("id: 1\ndata: x\n\n");
   for (const char* path : {"/resumable/x", "/stream/x"}) {
-    world.guarded.on_quarantined(GuardedFixture::print_of(path));
+    fixture.guarded.on_quarantined(GuardedFixture::fingerprint_for(path));
   }
   CHECK(waiting->head.status == 502);
   CHECK_FALSE(other->ended());
   CHECK_FALSE(begun->ended());
 }
 
-TEST_CASE("how attempts end is told: closed, silent, abandoned, answered") {
-  GuardedFixture world;
-  world.ask("/once/x");
-  world.last().fail(http::HttpErrc::kStaleConnection, true);
-  world.ask("/once/x");
-  world.last().fail(http::HttpErrc::kTimeout, true);
-  world.ask("/once/x")->leave();
-  world.ask("/once/x");
-  world.last().fail(http::HttpErrc::kConnect, false);  // Not sent: nothing to tell.
-  world.last().answer(200, {world.signature()}, "ok");
-  REQUIRE(world.guard.breaks.size() == 3);
-  CHECK(world.guard.breaks[0].kind == AttemptFailureKind::kClosed);
-  CHECK(world.guard.breaks[0].request == GuardedFixture::print_of("/once/x"));
-  CHECK(world.guard.breaks[1].kind == AttemptFailureKind::kUnresponsive);
-  CHECK(world.guard.breaks[2].kind == AttemptFailureKind::kAbandoned);
-  CHECK(world.guard.answers.size() == 1);
+TEST_CASE(
+    "the guard is informed whether an attempt was closed, unresponsive, abandoned or answered") {
+  GuardedFixture fixture;
+  fixture.ask("/once/x");
+  fixture.last().fail(http::HttpErrc::kStaleConnection, true);
+  fixture.ask("/once/x");
+  fixture.last().fail(http::HttpErrc::kTimeout, true);
+  fixture.ask("/once/x")->disconnect();
+  fixture.ask("/once/x");
+  fixture.last().fail(http::HttpErrc::kConnect, false);  // Not sent, so not reported.
+  fixture.last().answer(200, {fixture.signature()}, "ok");
+  REQUIRE(fixture.guard.failures.size() == 3);
+  CHECK(fixture.guard.failures[0].kind == AttemptFailureKind::kClosed);
+  CHECK(fixture.guard.failures[0].request == GuardedFixture::fingerprint_for("/once/x"));
+  CHECK(fixture.guard.failures[1].kind == AttemptFailureKind::kUnresponsive);
+  CHECK(fixture.guard.failures[2].kind == AttemptFailureKind::kAbandoned);
+  CHECK(fixture.guard.answers.size() == 1);
 }
 
-TEST_CASE("a trial is one send, whatever becomes of it") {
-  GuardedFixture world;
-  world.guard.verdict = SendVerdict::kTrialDue;
-  const auto caller = world.ask("/resumable/x");
-  CHECK(world.sends() == 0);
-  REQUIRE(world.guard.claims.size() == 1);
-  SUBCASE("granted, and its back end ends") {
-    world.guard.claims[0](true);
-    REQUIRE(world.sends() == 1);
-    world.last().fail(http::HttpErrc::kReset, true);
+TEST_CASE("a trial is a single send, whatever its result") {
+  GuardedFixture fixture;
+  fixture.guard.verdict = SendVerdict::kTrialDue;
+  const auto caller = fixture.ask("/resumable/x");
+  CHECK(fixture.sends() == 0);
+  REQUIRE(fixture.guard.claims.size() == 1);
+  SUBCASE("granted, and its back end terminates") {
+    fixture.guard.claims[0](true);
+    REQUIRE(fixture.sends() == 1);
+    fixture.last().fail(http::HttpErrc::kReset, true);
     CHECK(caller->head.status == 502);
-    CHECK(world.sends() == 1);
+    CHECK(fixture.sends() == 1);
   }
   SUBCASE("granted, and served") {
-    world.guard.claims[0](true);
-    world.last().answer(200, {world.signature()}, "");
+    fixture.guard.claims[0](true);
+    fixture.last().answer(200, {fixture.signature()}, "");
     CHECK(caller->head.status == 200);
   }
   SUBCASE("not granted") {
-    world.guard.claims[0](false);
+    fixture.guard.claims[0](false);
     CHECK(caller->head.status == 503);
-    CHECK(world.sends() == 0);
+    CHECK(fixture.sends() == 0);
   }
-  SUBCASE("granted when the caller has left") {
-    caller->leave();
-    world.guard.claims[0](true);
-    CHECK(world.sends() == 0);
+  SUBCASE("granted after the caller disconnected") {
+    caller->disconnect();
+    fixture.guard.claims[0](true);
+    CHECK(fixture.sends() == 0);
   }
 }
 
-TEST_CASE("a trial goes where the fewest requests run") {
-  GuardedFixture world;
-  world.ask("/idempotent/a");
-  world.ask("/idempotent/b");
-  world.guard.verdict = SendVerdict::kTrialDue;
-  world.ask("/idempotent/c");
-  world.guard.claims.at(0)(true);
-  REQUIRE(world.sends() == 3);
-  CHECK(world.transport.started[2]->request.endpoint !=
-        world.transport.started[0]->request.endpoint);
-  CHECK(world.transport.started[2]->request.endpoint !=
-        world.transport.started[1]->request.endpoint);
+TEST_CASE("a trial is sent to the back end with the fewest requests") {
+  GuardedFixture fixture;
+  fixture.ask("/idempotent/a");
+  fixture.ask("/idempotent/b");
+  fixture.guard.verdict = SendVerdict::kTrialDue;
+  fixture.ask("/idempotent/c");
+  fixture.guard.claims.at(0)(true);
+  REQUIRE(fixture.sends() == 3);
+  CHECK(fixture.transport.started[2]->request.endpoint !=
+        fixture.transport.started[0]->request.endpoint);
+  CHECK(fixture.transport.started[2]->request.endpoint !=
+        fixture.transport.started[1]->request.endpoint);
 }
 
-TEST_CASE("while nothing is held against anybody no request is judged") {
-  GuardedFixture world;
-  world.guard.watches = false;
-  world.ask("/once/x");
-  world.last().answer(200, {world.signature()}, "ok");
-  CHECK(world.guard.judged == 0);
-  CHECK(world.guard.answers.empty());
+TEST_CASE("requests are not checked while none is suspected") {
+  GuardedFixture fixture;
+  fixture.guard.active = false;
+  fixture.ask("/once/x");
+  fixture.last().answer(200, {fixture.signature()}, "ok");
+  CHECK(fixture.guard.checked == 0);
+  CHECK(fixture.guard.answers.empty());
 }
 
-TEST_CASE("a request that comes to be quarantined while it waits for a configuration is not sent") {
-  GuardedFixture world;
+TEST_CASE("a request quarantined while it waits for a configuration is not sent") {
+  GuardedFixture fixture;
   std::function<void(bool)> refreshed;
-  Gateway gateway{{world.time,
-                   world.time,
-                   world.transport,
-                   world.fleet,
-                   world.loads,
-                   world.placement,
-                   world.budget,
-                   world.shares,
-                   world.names,
-                   world.engines,
-                   world.statistics,
-                   world.logger,
+  Gateway gateway{{fixture.time,
+                   fixture.time,
+                   fixture.transport,
+                   fixture.fleet,
+                   fixture.loads,
+                   fixture.placement,
+                   fixture.budget,
+                   fixture.shares,
+                   fixture.names,
+                   fixture.engines,
+                   fixture.statistics,
+                   fixture.logger,
                    [] { return 1U; },
                    {},
-                   &world.guard},
+                   &fixture.guard},
                   [&](auto done) { refreshed = std::move(done); }};
   const auto caller = std::make_shared<gateway::testing::FakeCaller>();
   gateway.handle({"POST", "/newer/1", "", {{"host", "h"}, {"x-request-id", "r1"}}, "body"}, caller);
-  gateway.on_quarantined(GuardedFixture::print_of("/newer/1"));
+  gateway.on_quarantined(GuardedFixture::fingerprint_for("/newer/1"));
   CHECK(gateway.held().at_configuration == 1);
-  world.guard.verdict = SendVerdict::kRefused;
+  fixture.guard.verdict = SendVerdict::kRefused;
   Configuration newer = GatewayFixture::make_configuration(2);
   newer.routes.push_back(
       GatewayFixture::make_route("/newer/", RequestKind::kNonIdempotent, "relay", 1, false));
-  world.fleet.apply(std::move(newer));
+  fixture.fleet.apply(std::move(newer));
   refreshed(true);
-  CHECK(world.sends() == 0);
+  CHECK(fixture.sends() == 0);
   CHECK(caller->head.status == 503);
   CHECK(gateway.running() == 0);
 }
 
-TEST_CASE("a request that waits for a trial when the process ends is told that it has not run") {
-  GuardedFixture world;
-  world.guard.verdict = SendVerdict::kTrialDue;
-  const auto caller = world.ask("/once/1");
-  REQUIRE(world.guard.claims.size() == 1);
-  CHECK(world.guarded.held().at_back_ends == 1);
-  world.guarded.end_all();
+TEST_CASE("a request that waits for a trial when the process stops is answered as not run") {
+  GuardedFixture fixture;
+  fixture.guard.verdict = SendVerdict::kTrialDue;
+  const auto caller = fixture.ask("/once/1");
+  REQUIRE(fixture.guard.claims.size() == 1);
+  CHECK(fixture.guarded.held().at_back_ends == 1);
+  fixture.guarded.finish_all();
   CHECK(caller->head.status == 503);
-  world.guard.claims.front()(true);
-  CHECK(world.sends() == 0);
-  CHECK(world.guarded.running() == 0);
+  fixture.guard.claims.front()(true);
+  CHECK(fixture.sends() == 0);
+  CHECK(fixture.guarded.running() == 0);
 }
