--- a/src/gateway/tests/request_session_test.cc
+++ b/src/gateway/tests/request_session_test.cc
@@ -1,4 +1,4 @@
-// What may follow an attempt, and what a caller is told.
+// Tests of what follows an attempt and of the answers that callers get.
 #include <doctest/doctest.h>
 
 #include <chrono>
@@ -10,107 +10,109 @@
 using namespace std::chrono_literals;
 using ochrespring::gateway::testing::GatewayFixture;
 
-TEST_CASE("a whole signed answer goes through unchanged") {
-  GatewayFixture world;
-  world.add_backend("b1", "relay");
-  const auto caller = world.send("/once/x");
-  REQUIRE(world.sends() == 1);
-  CHECK(world.last().header("x-request-id") == "r1");
-  CHECK(world.last().header(world.names.expected_instance) == "b1");
-  CHECK(world.last().request.body == "body");
-  world.last().answer(201, {world.signature(), {"x-own", "1"}}, "answer");
+TEST_CASE("a complete signed answer is forwarded unchanged") {
+  GatewayFixture fixture;
+  fixture.add_backend("b1", "relay");
+  const auto caller = fixture.send("/once/x");
+  REQUIRE(fixture.sends() == 1);
+  CHECK(fixture.last().header("x-request-id") == "r1");
+  CHECK(fixture.last().header(fixture.names.expected_instance) == "b1");
+  CHECK(fixture.last().request.body == "body");
+  fixture.last().answer(201, {fixture.signature(), {"x-own", "1"}}, "answer");
   CHECK(caller->head.status == 201);
-  CHECK(caller->header(world.names.signature) == "sig");
+  CHECK(caller->header(fixture.names.signature) == "sig");
   CHECK(caller->header("x-own") == "1");
   CHECK(caller->body == "answer");
   CHECK(caller->finished);
-  CHECK(world.gateway.running() == 0);
+  CHECK(fixture.gateway.running() == 0);
 }
 
-TEST_CASE("headers that only the gateway sets and those of the connection are not passed on") {
-  GatewayFixture world;
-  world.names.reserved = {"x-forged"};
-  world.add_backend("b1", "relay");
-  world.send("/once/x",
-             {{"x-forged", "1"}, {"connection", "x-hop, close"}, {"x-hop", "1"}, {"x-kept", "1"}});
-  CHECK(world.last().header("x-forged").empty());
-  CHECK(world.last().header("connection").empty());
-  CHECK(world.last().header("x-hop").empty());
-  CHECK(world.last().header("x-kept") == "1");
+TEST_CASE("reserved and hop-by-hop headers of the caller are not forwarded") {
+  GatewayFixture fixture;
+  fixture.names.reserved = {"x-forged"};
+  fixture.add_backend("b1", "relay");
+  fixture.send(
+      "/once/x",
+      {{"x-forged", "1"}, {"connection", "x-hop, close"}, {"x-hop", "1"}, {"x-kept", "1"}});
+  CHECK(fixture.last().header("x-forged").empty());
+  CHECK(fixture.last().header("connection").empty());
+  CHECK(fixture.last().header("x-hop").empty());
+  CHECK(fixture.last().header("x-kept") == "1");
 }
 
-TEST_CASE("a request that may not run twice is sent once, and its loss is told as unknown") {
-  GatewayFixture world;
-  world.add_backend("b1", "relay");
-  world.add_backend("b2", "relay");
+TEST_CASE(
+    "a request that must not run twice is sent once, and its failure is answered as unknown") {
+  GatewayFixture fixture;
+  fixture.add_backend("b1", "relay");
+  fixture.add_backend("b2", "relay");
   for (const auto code : {http::HttpErrc::kReset, http::HttpErrc::kTruncated,
                           http::HttpErrc::kStaleConnection, http::HttpErrc::kTimeout}) {
-    const std::size_t before = world.sends();
-    const auto caller = world.send("/once-twice/x");
-    world.last().fail(code, true);
+    const std::size_t before = fixture.sends();
+    const auto caller = fixture.send("/once-twice/x");
+    fixture.last().fail(code, true);
     CHECK(caller->head.status == 502);
-    CHECK(caller->header(world.names.signature).empty());
-    CHECK(world.sends() == before + 1);
+    CHECK(caller->header(fixture.names.signature).empty());
+    CHECK(fixture.sends() == before + 1);
   }
 }
 
-TEST_CASE("a success without a signature is no answer of a back end") {
-  GatewayFixture world;
-  world.add_backend("b1", "relay");
-  const auto caller = world.send("/once/x");
-  world.last().answer(200, {}, "garbage");
+TEST_CASE("a success without a signature is not accepted as an answer of a back end") {
+  GatewayFixture fixture;
+  fixture.add_backend("b1", "relay");
+  const auto caller = fixture.send("/once/x");
+  fixture.last().answer(200, {}, "garbage");
   CHECK(caller->head.status == 502);
   CHECK(caller->body.find("garbage") == std::string::npos);
 }
 
-TEST_CASE("a refusal by the back end is told as not run, with when to come back") {
-  GatewayFixture world;
-  world.add_backend("b1", "relay");
-  const auto caller = world.send("/once/x");
-  world.last().answer(503, {{world.names.not_run, "1"}}, "");
+TEST_CASE("a refusal by the back end is answered as not run, with Retry-After") {
+  GatewayFixture fixture;
+  fixture.add_backend("b1", "relay");
+  const auto caller = fixture.send("/once/x");
+  fixture.last().answer(503, {{fixture.names.not_run, "1"}}, "");
   CHECK(caller->head.status == 503);
   CHECK_FALSE(caller->header("retry-after").empty());
-  CHECK(world.sends() == 1);
-}
-
-TEST_CASE("a refused request goes to another back end where the route allows two") {
-  GatewayFixture world;
-  world.add_backend("b1", "relay");
-  world.add_backend("b2", "relay");
-  const auto caller = world.send("/once-twice/x");
-  const std::string first = world.last().request.endpoint.value();
-  world.last().answer(421, {}, "");
-  REQUIRE(world.sends() == 2);
-  CHECK(world.last().request.endpoint.value() != first);
-  world.last().answer(200, {world.signature()}, "ok");
+  CHECK(fixture.sends() == 1);
+}
+
+TEST_CASE("a refused request is sent to another back end if the route allows two attempts") {
+  GatewayFixture fixture;
+  fixture.add_backend("b1", "relay");
+  fixture.add_backend("b2", "relay");
+  const auto caller = fixture.send("/once-twice/x");
+  const std::string first = fixture.last().request.endpoint.value();
+  fixture.last().answer(421, {}, "");
+  REQUIRE(fixture.sends() == 2);
+  CHECK(fixture.last().request.endpoint.value() != first);
+  fixture.last().answer(200, {fixture.signature()}, "ok");
   CHECK(caller->body == "ok");
 }
 
-TEST_CASE("a failure that a back end signed is tried again only if the request may be repeated") {
-  GatewayFixture world;
-  world.add_backend("b1", "relay");
-  world.add_backend("b2", "relay");
-  const auto once = world.send("/once-twice/x");
-  world.last().answer(500, {world.signature()}, "failed");
+TEST_CASE("a signed error answer leads to a retry only if the request is retryable") {
+  GatewayFixture fixture;
+  fixture.add_backend("b1", "relay");
+  fixture.add_backend("b2", "relay");
+  const auto once = fixture.send("/once-twice/x");
+  fixture.last().answer(500, {fixture.signature()}, "failed");
   CHECK(once->head.status == 500);
-  CHECK(once->header(world.names.signature) == "sig");
-  const auto again = world.send("/idempotent/x");
-  world.last().answer(500, {world.signature()}, "failed");
+  CHECK(once->header(fixture.names.signature) == "sig");
+  const auto again = fixture.send("/idempotent/x");
+  fixture.last().answer(500, {fixture.signature()}, "failed");
   CHECK_FALSE(again->ended());
-  world.last().answer(500, {world.signature()}, "failed again");
+  fixture.last().answer(500, {fixture.signature()}, "failed again");
   CHECK(again->head.status == 500);
   CHECK(again->body == "failed again");
 }
 
-TEST_CASE("a failure that a back end signed is not lost where no other back end can do better") {
+TEST_CASE("a signed error answer is returned if no other back end answers") {
   GatewayFixture f;
   f.add_backend("b1", "relay");
-  const auto alone = f.send("/idempotent/x");
+  const auto only_backend = f.send("/idempotent/x");
   f.last().answer(500, {f.signature()}, "why");
   CHECK(f.sends() == 1);
-  CHECK(alone->head.status == 500);
-  CHECK(alone->body == "why");
-  CHECK(alone->header(f.names.signature) == "sig");
+  CHECK(only_backend->head.status == 500);
+  CHECK(only_backend->body == "why");
+  CHECK(only_backend->header(f.names.signature) == "sig");
 
   f.add_backend("b2", "relay");
   const auto broken = f.send("/idempotent/x");
@@ -120,154 +122,157 @@
   CHECK(broken->body == "why");
 }
 
-TEST_CASE("without a connection nothing was sent: another back end is tried free of charge") {
-  GatewayFixture world;
-  world.budget.set({0, 0, 10s});
-  world.add_backend("b1", "relay");
-  world.add_backend("b2", "relay");
-  const auto caller = world.send("/once/x");
-  world.last().fail(http::HttpErrc::kConnect, false);
-  REQUIRE(world.sends() == 2);
-  world.last().fail(http::HttpErrc::kConnect, false);
+TEST_CASE(
+    "after a failed connection another back end is tried without charge to the retry budget") {
+  GatewayFixture fixture;
+  fixture.budget.set({0, 0, 10s});
+  fixture.add_backend("b1", "relay");
+  fixture.add_backend("b2", "relay");
+  const auto caller = fixture.send("/once/x");
+  fixture.last().fail(http::HttpErrc::kConnect, false);
+  REQUIRE(fixture.sends() == 2);
+  fixture.last().fail(http::HttpErrc::kConnect, false);
   CHECK(caller->head.status == 503);
 }
 
-TEST_CASE("repeats stop when the budget is spent") {
-  GatewayFixture world;
-  world.budget.set({0, 0, 10s});
-  world.add_backend("b1", "relay");
-  world.add_backend("b2", "relay");
-  const auto caller = world.send("/idempotent/x");
-  world.last().fail(http::HttpErrc::kReset, true);
-  CHECK(world.sends() == 1);
+TEST_CASE("a request is not retried once the retry budget is spent") {
+  GatewayFixture fixture;
+  fixture.budget.set({0, 0, 10s});
+  fixture.add_backend("b1", "relay");
+  fixture.add_backend("b2", "relay");
+  const auto caller = fixture.send("/idempotent/x");
+  fixture.last().fail(http::HttpErrc::kReset, true);
+  CHECK(fixture.sends() == 1);
   CHECK(caller->head.status == 502);
-  CHECK(world.statistics.budget_denied == 1);
-}
-
-TEST_CASE("each send carries what is left of the caller's time") {
-  GatewayFixture world;
-  world.add_backend("b1", "relay");
-  world.add_backend("b2", "relay");
-  world.send("/idempotent/x", {{"x-deadline-ms", "900"}});
-  CHECK(world.last().header("x-deadline-ms") == "900");
-  world.advance(200ms);
-  world.last().fail(http::HttpErrc::kReset, true);
-  CHECK(world.last().header("x-deadline-ms") == "700");
-}
-
-TEST_CASE("the route's time ends a request with a final answer") {
-  GatewayFixture world;
-  world.add_backend("b1", "relay");
-  const auto caller = world.send("/once/x", {{"x-deadline-ms", "9000"}});
-  const auto exchange = world.transport.started.back();
-  world.advance(2000ms);
+  CHECK(fixture.statistics.budget_denied == 1);
+}
+
+TEST_CASE("each send carries the time left until the caller's deadline") {
+  GatewayFixture fixture;
+  fixture.add_backend("b1", "relay");
+  fixture.add_backend("b2", "relay");
+  fixture.send("/idempotent/x", {{"x-deadline-ms", "900"}});
+  CHECK(fixture.last().header("x-deadline-ms") == "900");
+  fixture.advance(200ms);
+  fixture.last().fail(http::HttpErrc::kReset, true);
+  CHECK(fixture.last().header("x-deadline-ms") == "700");
+}
+
+TEST_CASE("a request that exceeds the route's timeout gets a final answer") {
+  GatewayFixture fixture;
+  fixture.add_backend("b1", "relay");
+  const auto caller = fixture.send("/once/x", {{"x-deadline-ms", "9000"}});
+  const auto exchange = fixture.transport.started.back();
+  fixture.advance(2000ms);
   CHECK(caller->head.status == 504);
   CHECK(caller->finished);
   CHECK_FALSE(exchange->open);
 }
 
-TEST_CASE("a node that is about to end refuses what may outlast it, and serves the rest") {
-  GatewayFixture world;
-  world.add_backend("a", "relay");
-  world.gateway.end_at(world.time.now() + 1s);
-  const auto longer = world.send("/once/");
+TEST_CASE("a stopping node refuses requests that may outlast it and serves the others") {
+  GatewayFixture fixture;
+  fixture.add_backend("a", "relay");
+  fixture.gateway.set_shutdown_time(fixture.time.now() + 1s);
+  const auto longer = fixture.send("/once/");
   CHECK(longer->head.status == 503);
   CHECK(longer->header("retry-after") == "0.020000");
-  CHECK(world.sends() == 0);
-  const auto shorter = world.send("/once/", {{world.names.deadline, "900"}});
-  CHECK(world.sends() == 1);
-  world.last().answer(200, {world.signature()}, "done");
+  CHECK(fixture.sends() == 0);
+  const auto shorter = fixture.send("/once/", {{fixture.names.deadline, "900"}});
+  CHECK(fixture.sends() == 1);
+  fixture.last().answer(200, {fixture.signature()}, "done");
   CHECK(shorter->head.status == 200);
 }
 
-TEST_CASE("a caller that leaves stops the work, and nothing is sent for it any more") {
-  GatewayFixture world;
-  world.add_backend("b1", "relay");
-  world.add_backend("b2", "relay");
-  const auto caller = world.send("/idempotent/x");
-  caller->leave();
-  CHECK_FALSE(world.last().open);
-  world.advance(5s);
-  CHECK(world.sends() == 1);
-  CHECK(world.gateway.running() == 0);
-}
-
-TEST_CASE("a silent back end is left for another one if the request may be repeated") {
-  GatewayFixture world;
-  world.add_backend("b1", "relay");
-  world.add_backend("b2", "relay");
-  const auto caller = world.send("/idempotent/x");
-  const auto silent = world.transport.started.back();
-  world.advance(400ms);
-  REQUIRE(world.sends() == 2);
-  CHECK_FALSE(silent->open);
-  world.last().answer(200, {world.signature()}, "ok");
+TEST_CASE("a disconnected caller's attempt is cancelled and nothing more is sent") {
+  GatewayFixture fixture;
+  fixture.add_backend("b1", "relay");
+  fixture.add_backend("b2", "relay");
+  const auto caller = fixture.send("/idempotent/x");
+  caller->disconnect();
+  CHECK_FALSE(fixture.last().open);
+  fixture.advance(5s);
+  CHECK(fixture.sends() == 1);
+  CHECK(fixture.gateway.running() == 0);
+}
+
+TEST_CASE("a retryable request leaves an unresponsive back end for another one") {
+  GatewayFixture fixture;
+  fixture.add_backend("b1", "relay");
+  fixture.add_backend("b2", "relay");
+  const auto caller = fixture.send("/idempotent/x");
+  const auto unresponsive = fixture.transport.started.back();
+  fixture.advance(400ms);
+  REQUIRE(fixture.sends() == 2);
+  CHECK_FALSE(unresponsive->open);
+  fixture.last().answer(200, {fixture.signature()}, "ok");
   CHECK(caller->body == "ok");
 }
 
-TEST_CASE("a draining back end and one of another service get nothing") {
-  GatewayFixture world;
-  world.add_backend("b1", "relay", EngineRole::kNone, true);
-  world.add_backend("b2", "llm", EngineRole::kDecode);
-  const auto caller = world.send("/once/x");
-  CHECK(world.sends() == 0);
+TEST_CASE("a draining back end and one of another service get no requests") {
+  GatewayFixture fixture;
+  fixture.add_backend("b1", "relay", EngineRole::kNone, true);
+  fixture.add_backend("b2", "llm", EngineRole::kDecode);
+  const auto caller = fixture.send("/once/x");
+  CHECK(fixture.sends() == 0);
   CHECK(caller->head.status == 503);
 }
 
-TEST_CASE("an unknown route is denied only by a configuration that is surely the newest") {
-  GatewayFixture world;
-  CHECK(world.send("/none/x")->head.status == 404);
-  world.store_answers = false;
-  CHECK(world.send("/none/x")->head.status == 503);
+TEST_CASE(
+    "an unknown route is answered with 404 only if the configuration is known to be the newest") {
+  GatewayFixture fixture;
+  CHECK(fixture.send("/none/x")->head.status == 404);
+  fixture.store_answers = false;
+  CHECK(fixture.send("/none/x")->head.status == 503);
 }
 
-TEST_CASE("a node without a configuration asks to come back") {
-  GatewayFixture world;
-  world.fleet = FleetState();
-  const auto caller = world.send("/once/x");
+TEST_CASE("a node without a configuration answers 503 with Retry-After") {
+  GatewayFixture fixture;
+  fixture.fleet = FleetState();
+  const auto caller = fixture.send("/once/x");
   CHECK(caller->head.status == 503);
   CHECK_FALSE(caller->header("retry-after").empty());
 }
 
-TEST_CASE("events are passed on whole, and half of one never") {
-  GatewayFixture world;
-  world.add_backend("e1", "llm", EngineRole::kDecode);
-  const auto caller = world.send("/stream/x");
-  world.last().observer->on_head({200, {world.signature()}});
+TEST_CASE("only complete events are forwarded") {
+  GatewayFixture fixture;
+  fixture.add_backend("e1", "llm", EngineRole::kDecode);
+  const auto caller = fixture.send("/stream/x");
+  fixture.last().observer->on_head({200, {fixture.signature()}});
   CHECK(caller->head.status == 0);
-  world.last().observer->on_body("id: 1\ndata: a\n\nid: 2\nda");
+  fixture.last().observer->on_body("id: 1\ndata: a\n\nid: 2\nda");
   CHECK(caller->head.status == 200);
   CHECK(caller->body == "id: 1\ndata: a\n\n");
-  world.last().fail(http::HttpErrc::kTruncated, true);
+  fixture.last().fail(http::HttpErrc::kTruncated, true);
   CHECK(caller->body == "id: 1\ndata: a\n\n");
   CHECK(caller->aborted);
   CHECK_FALSE(caller->finished);
 }
 
-TEST_CASE("a broken stream goes on at another engine behind the last event, without repeats") {
-  GatewayFixture world;
-  world.add_backend("e1", "llm", EngineRole::kDecode);
-  world.add_backend("e2", "llm", EngineRole::kDecode);
-  const auto caller = world.send("/resumable/x");
-  const std::string first = world.last().request.endpoint.value();
-  world.last().observer->on_head({200, {world.signature()}});
-  world.last().observer->on_body("id: 1\ndata: a\n\nid: 2\nda");
-  world.last().fail(http::HttpErrc::kTruncated, true);
-  REQUIRE(world.sends() == 2);
-  CHECK(world.last().request.endpoint.value() != first);
-  CHECK(world.last().header("last-event-id") == "1");
-  world.last().answer(200, {{world.names.signature, "other"}},
-                      "id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
-  CHECK(caller->header(world.names.signature) == "sig");
+TEST_CASE(
+    "a failed stream is retried at another engine after the last event, without duplicate events") {
+  GatewayFixture fixture;
+  fixture.add_backend("e1", "llm", EngineRole::kDecode);
+  fixture.add_backend("e2", "llm", EngineRole::kDecode);
+  const auto caller = fixture.send("/resumable/x");
+  const std::string first = fixture.last().request.endpoint.value();
+  fixture.last().observer->on_head({200, {fixture.signature()}});
+  fixture.last().observer->on_body("id: 1\ndata: a\n\nid: 2\nda");
+  fixture.last().fail(http::HttpErrc::kTruncated, true);
+  REQUIRE(fixture.sends() == 2);
+  CHECK(fixture.last().request.endpoint.value() != first);
+  CHECK(fixture.last().header("last-event-id") == "1");
+  fixture.last().answer(200, {{fixture.names.signature, "other"}},
+                        "id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
+  CHECK(caller->header(fixture.names.signature) == "sig");
   CHECK(caller->body == "id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
   CHECK(caller->finished);
 }
 
-TEST_CASE("a stream that the caller takes up keeps its place") {
-  GatewayFixture world;
-  world.add_backend("e1", "llm", EngineRole::kDecode);
-  world.send("/resumable/x", {{"last-event-id", "12"}});
-  CHECK(world.last().header("last-event-id") == "12");
+TEST_CASE("a stream that the caller resumes keeps its Last-Event-Id") {
+  GatewayFixture fixture;
+  fixture.add_backend("e1", "llm", EngineRole::kDecode);
+  fixture.send("/resumable/x", {{"last-event-id", "12"}});
+  CHECK(fixture.last().header("last-event-id") == "12");
 }
 
 namespace {
@@ -279,145 +284,146 @@
 
 }  // namespace
 
-TEST_CASE("a long prompt is read at a prefill engine, whose cache the runner takes") {
-  GatewayFixture world;
-  world.add_backend("p1", "llm", EngineRole::kPrefill);
-  world.add_backend("d1", "llm", EngineRole::kDecode);
-  const auto caller = world.send("/stream/x", kLongPrompt);
-  CHECK(world.last().request.endpoint.value() == "p1:1");
-  CHECK(world.last().header(world.names.phase) == "prefill");
-  world.last().answer(200, {}, "handle=h7");
-  REQUIRE(world.sends() == 2);
-  CHECK(world.last().request.endpoint.value() == "d1:1");
-  CHECK(world.last().header(world.names.phase).empty());
-  CHECK(world.last().header(world.names.cache_source) == "p1:1/h7");
-  world.last().answer(200, {world.signature()}, "id: 1\n\n");
+TEST_CASE("a long prompt is prefilled at a prefill engine, whose cache the runner uses") {
+  GatewayFixture fixture;
+  fixture.add_backend("p1", "llm", EngineRole::kPrefill);
+  fixture.add_backend("d1", "llm", EngineRole::kDecode);
+  const auto caller = fixture.send("/stream/x", kLongPrompt);
+  CHECK(fixture.last().request.endpoint.value() == "p1:1");
+  CHECK(fixture.last().header(fixture.names.phase) == "prefill");
+  fixture.last().answer(200, {}, "handle=h7");
+  REQUIRE(fixture.sends() == 2);
+  CHECK(fixture.last().request.endpoint.value() == "d1:1");
+  CHECK(fixture.last().header(fixture.names.phase).empty());
+  CHECK(fixture.last().header(fixture.names.cache_source) == "p1:1/h7");
+  fixture.last().answer(200, {fixture.signature()}, "id: 1\n\n");
   CHECK(caller->body == "id: 1\n\n");
-  CHECK(world.transport.forgotten.empty());
+  CHECK(fixture.transport.forgotten.empty());
 }
 
-TEST_CASE("the engine is told where to fetch a shared part that another keeps") {
-  GatewayFixture world;
-  world.add_backend("d1", "llm", EngineRole::kDecode);
-  world.add_backend("d2", "llm", EngineRole::kDecode);
-  world.loads.note_prompt(BackendId("d1"), parse_prompt("aa:9000,bb:9000", "18000,50"),
-                          world.time.now());
-  world.advance(std::chrono::seconds(2));
-  world.loads.begin(BackendId("d1"), 50'000);
-  world.send("/stream/x", kLongPrompt);
-  CHECK(world.last().request.endpoint.value() == "d2:1");
-  CHECK(world.last().header(world.names.cache_fetch) == "d1:1");
-  CHECK(world.statistics.cache_fetches == 1);
+TEST_CASE("the engine gets the address of another engine that caches a shared part") {
+  GatewayFixture fixture;
+  fixture.add_backend("d1", "llm", EngineRole::kDecode);
+  fixture.add_backend("d2", "llm", EngineRole::kDecode);
+  fixture.loads.note_prompt(BackendId("d1"), parse_prompt("aa:9000,bb:9000", "18000,50"),
+                            fixture.time.now());
+  fixture.advance(std::chrono::seconds(2));
+  fixture.loads.begin(BackendId("d1"), 50'000);
+  fixture.send("/stream/x", kLongPrompt);
+  CHECK(fixture.last().request.endpoint.value() == "d2:1");
+  CHECK(fixture.last().header(fixture.names.cache_fetch) == "d1:1");
+  CHECK(fixture.statistics.cache_fetches == 1);
 }
 
-TEST_CASE("a prefill that was refused or lost leaves the request free to run") {
+TEST_CASE("a request still runs after its prefill call was refused or failed") {
   for (const bool refused : {true, false}) {
-    GatewayFixture world;
-    world.add_backend("p1", "llm", EngineRole::kPrefill);
-    world.add_backend("d1", "llm", EngineRole::kDecode);
-    const auto caller = world.send("/stream/x", kLongPrompt);
-    REQUIRE(world.last().request.endpoint.value() == "p1:1");
+    GatewayFixture fixture;
+    fixture.add_backend("p1", "llm", EngineRole::kPrefill);
+    fixture.add_backend("d1", "llm", EngineRole::kDecode);
+    const auto caller = fixture.send("/stream/x", kLongPrompt);
+    REQUIRE(fixture.last().request.endpoint.value() == "p1:1");
     if (refused) {
-      world.last().answer(503, {{world.names.not_run, "1"}}, "");
+      fixture.last().answer(503, {{fixture.names.not_run, "1"}}, "");
     } else {
-      world.last().fail(http::HttpErrc::kReset, true);
+      fixture.last().fail(http::HttpErrc::kReset, true);
     }
-    REQUIRE(world.sends() == 2);
-    CHECK(world.last().request.endpoint.value() == "d1:1");
-    CHECK(world.last().header(world.names.cache_source).empty());
-    world.last().answer(200, {world.signature()}, "id: 1\n\n");
+    REQUIRE(fixture.sends() == 2);
+    CHECK(fixture.last().request.endpoint.value() == "d1:1");
+    CHECK(fixture.last().header(fixture.names.cache_source).empty());
+    fixture.last().answer(200, {fixture.signature()}, "id: 1\n\n");
     CHECK(caller->finished);
   }
 }
 
-TEST_CASE("a cache that nobody will take is freed") {
-  GatewayFixture world;
-  world.add_backend("p1", "llm", EngineRole::kPrefill);
-  world.add_backend("d1", "llm", EngineRole::kDecode);
-  const auto caller = world.send("/stream/x", kLongPrompt);
-  world.last().answer(200, {}, "handle=h7");
-  world.last().fail(http::HttpErrc::kConnect, false);
+TEST_CASE("the cache at the prefill engine is released if no engine will use it") {
+  GatewayFixture fixture;
+  fixture.add_backend("p1", "llm", EngineRole::kPrefill);
+  fixture.add_backend("d1", "llm", EngineRole::kDecode);
+  const auto caller = fixture.send("/stream/x", kLongPrompt);
+  fixture.last().answer(200, {}, "handle=h7");
+  fixture.last().fail(http::HttpErrc::kConnect, false);
   CHECK(caller->head.status == 503);
-  REQUIRE(world.transport.forgotten.size() == 1);
-  CHECK(world.transport.forgotten[0].path == "/cache/h7");
-  CHECK(world.transport.forgotten[0].endpoint.value() == "p1:1");
-}
-
-TEST_CASE("a cache is offered again to the next engine if the first was not reached") {
-  GatewayFixture world;
-  world.add_backend("p1", "llm", EngineRole::kPrefill);
-  world.add_backend("d1", "llm", EngineRole::kDecode);
-  world.add_backend("d2", "llm", EngineRole::kDecode);
-  world.send("/stream/x", kLongPrompt);
-  world.last().answer(200, {}, "handle=h7");
-  world.last().fail(http::HttpErrc::kConnect, false);
-  CHECK(world.last().header(world.names.cache_source) == "p1:1/h7");
-}
-
-TEST_CASE("a back end that fell silent is left alone while there is another") {
-  GatewayFixture world;
-  world.add_backend("b1", "relay");
-  world.add_backend("b2", "relay");
-  world.send("/once/x");
-  const std::string silent = world.last().request.endpoint.value();
-  world.last().fail(http::HttpErrc::kTimeout, true);
+  REQUIRE(fixture.transport.forgotten.size() == 1);
+  CHECK(fixture.transport.forgotten[0].path == "/cache/h7");
+  CHECK(fixture.transport.forgotten[0].endpoint.value() == "p1:1");
+}
+
+TEST_CASE("the cache is used by the next engine if the first was unreachable") {
+  GatewayFixture fixture;
+  fixture.add_backend("p1", "llm", EngineRole::kPrefill);
+  fixture.add_backend("d1", "llm", EngineRole::kDecode);
+  fixture.add_backend("d2", "llm", EngineRole::kDecode);
+  fixture.send("/stream/x", kLongPrompt);
+  fixture.last().answer(200, {}, "handle=h7");
+  fixture.last().fail(http::HttpErrc::kConnect, false);
+  CHECK(fixture.last().header(fixture.names.cache_source) == "p1:1/h7");
+}
+
+TEST_CASE("a back end that timed out gets no requests while there is another one") {
+  GatewayFixture fixture;
+  fixture.add_backend("b1", "relay");
+  fixture.add_backend("b2", "relay");
+  fixture.send("/once/x");
+  const std::string unresponsive = fixture.last().request.endpoint.value();
+  fixture.last().fail(http::HttpErrc::kTimeout, true);
   for (int i = 0; i != 6; ++i) {
-    world.send("/once/x");
-    CHECK(world.last().request.endpoint.value() != silent);
+    fixture.send("/once/x");
+    CHECK(fixture.last().request.endpoint.value() != unresponsive);
   }
 }
 
-TEST_CASE("a back end whose address another one has taken gets no more requests") {
-  GatewayFixture world;
-  world.add_backend("r1", "relay");
-  world.add_backend("r2", "relay");
-  world.send("/once/x");
-  const std::string replaced = world.last().request.endpoint.value();
-  world.last().answer(421, {}, "");
+TEST_CASE("a back end whose address belongs to another one gets no more requests") {
+  GatewayFixture fixture;
+  fixture.add_backend("r1", "relay");
+  fixture.add_backend("r2", "relay");
+  fixture.send("/once/x");
+  const std::string replaced = fixture.last().request.endpoint.value();
+  fixture.last().answer(421, {}, "");
   for (int i = 0; i != 6; ++i) {
-    world.advance(std::chrono::milliseconds(500));
-    world.send("/once/x");
-    CHECK(world.last().request.endpoint.value() != replaced);
-    world.last().answer(200, {world.signature()}, "");
+    fixture.advance(std::chrono::milliseconds(500));
+    fixture.send("/once/x");
+    CHECK(fixture.last().request.endpoint.value() != replaced);
+    fixture.last().answer(200, {fixture.signature()}, "");
   }
 }
 
 TEST_CASE(
-    "nothing is sent to a back end whose address another one has taken, though it is the only "
+    "nothing is sent to a back end whose address belongs to another one, even if it is the only "
     "one") {
-  GatewayFixture world;
-  world.add_backend("r1", "relay");
-  world.send("/once/x");
-  world.last().answer(421, {{world.names.load, "5,5,8"}}, "");
-  const auto caller = world.send("/once/x");
-  CHECK(world.sends() == 1);
+  GatewayFixture fixture;
+  fixture.add_backend("r1", "relay");
+  fixture.send("/once/x");
+  fixture.last().answer(421, {{fixture.names.load, "5,5,8"}}, "");
+  const auto caller = fixture.send("/once/x");
+  CHECK(fixture.sends() == 1);
   CHECK(caller->head.status == 503);
-  CHECK(world.loads.of(BackendId("r1")).reported_waiting(world.time.now()) == 0);
-  world.add_backend("r2", "relay");
-  world.send("/once/x");
-  CHECK(world.last().request.endpoint == Endpoint("r2:1"));
+  CHECK(fixture.loads.of(BackendId("r1")).reported_waiting(fixture.time.now()) == 0);
+  fixture.add_backend("r2", "relay");
+  fixture.send("/once/x");
+  CHECK(fixture.last().request.endpoint == Endpoint("r2:1"));
 }
 
-TEST_CASE("an engine that was replaced is left alone after a prefill, too") {
-  GatewayFixture world;
-  world.add_backend("p1", "llm", EngineRole::kPrefill);
-  world.add_backend("d1", "llm", EngineRole::kDecode);
-  world.send("/stream/x", kLongPrompt);
-  REQUIRE(world.last().request.endpoint.value() == "p1:1");
-  world.last().answer(421, {}, "");
-  CHECK(world.loads.of(BackendId("p1")).ejected(world.time.now()));
+TEST_CASE("an engine found to be replaced by a prefill call is ejected") {
+  GatewayFixture fixture;
+  fixture.add_backend("p1", "llm", EngineRole::kPrefill);
+  fixture.add_backend("d1", "llm", EngineRole::kDecode);
+  fixture.send("/stream/x", kLongPrompt);
+  REQUIRE(fixture.last().request.endpoint.value() == "p1:1");
+  fixture.last().answer(421, {}, "");
+  CHECK(fixture.loads.of(BackendId("p1")).ejected(fixture.time.now()));
 }
 
-TEST_CASE("a deadline beyond all measure is the route's time, and one that is no number too") {
-  GatewayFixture world;
-  world.add_backend("b1", "relay");
+TEST_CASE("a deadline that is too large or not a number is replaced by the route's timeout") {
+  GatewayFixture fixture;
+  fixture.add_backend("b1", "relay");
   for (const char* deadline : {"18446744073709551615", "999999999999999999", "soon", ""}) {
-    world.send("/once/x", {{"x-deadline-ms", deadline}});
-    CHECK(world.last().header("x-deadline-ms") == "2000");
+    fixture.send("/once/x", {{"x-deadline-ms", deadline}});
+    CHECK(fixture.last().header("x-deadline-ms") == "2000");
   }
 }
 
-TEST_CASE_FIXTURE(GatewayFixture, "nodes keep no more connections than a back end takes from all") {
+TEST_CASE_FIXTURE(GatewayFixture,
+                  "all nodes together keep no more idle connections than a back end accepts") {
   add_backend("b1", "relay");
   for (const std::uint32_t nodes : {1U, 30U, 101U, 340U}) {
     CAPTURE(nodes);
@@ -431,23 +437,24 @@
   }
 }
 
-// Refusals beside servers with room could not be explained from the log.
-TEST_CASE("the log tells why a request was not sent once more") {
-  GatewayFixture world;
-  world.add_backend("b1", "relay");
-  world.add_backend("b2", "relay");
-  const auto refuse = [&] { world.last().answer(503, {{world.names.not_run, "1"}}, ""); };
-  world.send("/once/x");
+// Without the logged reason, a refusal while other back ends had room could not be explained from
+// the log.
+TEST_CASE("the log gives the reason why a request was not retried") {
+  GatewayFixture fixture;
+  fixture.add_backend("b1", "relay");
+  fixture.add_backend("b2", "relay");
+  const auto refuse = [&] { fixture.last().answer(503, {{fixture.names.not_run, "1"}}, ""); };
+  fixture.send("/once/x");
   refuse();
-  CHECK(world.logger.not_sent_again.back() == "attempts of the route");
-  world.send("/once-twice/x");
-  world.last().fail(http::HttpErrc::kReset, true);
-  CHECK(world.logger.not_sent_again.back() == "may have run");
-  world.budget.set({0.0, 0, std::chrono::seconds(10)});
-  world.send("/once-twice/x");
+  CHECK(fixture.logger.not_sent_again.back() == "attempts of the route");
+  fixture.send("/once-twice/x");
+  fixture.last().fail(http::HttpErrc::kReset, true);
+  CHECK(fixture.logger.not_sent_again.back() == "may have run");
+  fixture.budget.set({0.0, 0, std::chrono::seconds(10)});
+  fixture.send("/once-twice/x");
   refuse();
-  CHECK(world.logger.not_sent_again.back() == "retry budget");
-  world.send("/idempotent/x");
-  world.last().answer(200, {world.signature()}, "answer");
-  CHECK(world.logger.not_sent_again.back().empty());
+  CHECK(fixture.logger.not_sent_again.back() == "retry budget");
+  fixture.send("/idempotent/x");
+  fixture.last().answer(200, {fixture.signature()}, "answer");
+  CHECK(fixture.logger.not_sent_again.back().empty());
 }
--- a/src/gateway/tests/resumed_stream_test.cc
+++ b/src/gateway/tests/resumed_stream_test.cc
@@ -1,4 +1,5 @@
-// Streams whose server ends: when they go on at the engine that holds their copy, and as what.
+// Tests of streams whose server fails: when they are resumed at the engine that holds their copy,
+// and with which request.
 #include <doctest/doctest.h>
 
 #include <chrono>
@@ -18,16 +19,16 @@
 
 namespace {
 
-/// Lets requests pass until the test says otherwise.
-class SwitchedGuard final : public RequestGuard {
+/// Allows requests until the test sets another verdict.
+class StubGuard final : public RequestGuard {
  public:
-  bool watching() const override { return verdict != SendVerdict::kAllowed; }
-  SendVerdict judge(const RequestFingerprint& /*request*/) override { return verdict; }
+  bool is_active() const override { return verdict != SendVerdict::kAllowed; }
+  SendVerdict check(const RequestFingerprint& /*request*/) override { return verdict; }
   Duration retry_after(const RequestFingerprint& /*request*/) const override { return 1s; }
   void claim_trial(const RequestFingerprint& /*request*/, std::function<void(bool)> done) override {
     trial = std::move(done);
   }
-  void note_break(const FailedAttempt& attempt) override { kinds.push_back(attempt.kind); }
+  void note_failure(const FailedAttempt& attempt) override { kinds.push_back(attempt.kind); }
   void note_answer(const AnsweredAttempt& /*attempt*/) override {}
 
   SendVerdict verdict = SendVerdict::kAllowed;
@@ -35,16 +36,16 @@
   std::vector<AttemptFailureKind> kinds;
 };
 
-/// Engines `e1` to `e4` that replicate; `/stream/` may not be repeated, `/resumable/` once,
-/// `/thrice/` twice, and `/last/` might, but for its attempts.
-struct BackupWorld : GatewayFixture {
-  SwitchedGuard guard;
+/// Engines `e1` to `e4` that replicate streams. `/stream/` must not be retried, `/resumable/` may
+/// be retried once and `/thrice/` twice; `/last/` is retryable but allows a single attempt.
+struct ResumeFixture : GatewayFixture {
+  StubGuard guard;
   FakeGate gate;
   Gateway served{environment_with(&guard, &gate), [](auto done) { done(true); }};
-  std::shared_ptr<FakeExchange> run;  ///< Of the last stream that was begun.
+  std::shared_ptr<FakeExchange> run;  ///< Exchange of the latest stream.
   std::string backup;                 ///< Its backup engine.
 
-  BackupWorld() {
+  ResumeFixture() {
     Configuration configuration = make_configuration(2);
     configuration.routes.push_back(make_route("/thrice/", RequestKind::kStreaming, "llm", 3, true));
     configuration.routes.push_back(make_route("/last/", RequestKind::kStreaming, "llm", 1, true));
@@ -67,7 +68,7 @@
     backup = run ? run->header(names.cache_backup) : "";
     return caller;
   }
-  /// A stream of which one event and half of the next have come.
+  /// Starts a stream of which one event and half of the next one have arrived.
   std::shared_ptr<FakeCaller> begin(const std::string& path) {
     auto caller = ask(path);
     REQUIRE_FALSE(backup.empty());
@@ -80,7 +81,7 @@
     const std::string address = run->request.endpoint.value();
     return BackendId(address.substr(0, address.find(':')));
   }
-  bool continues() {
+  bool resumed_at_backup() {
     return sends() == 2 && last().request.endpoint.value() == backup &&
            last().header(names.cache_source) == run->request.endpoint.value() + "/r1" &&
            last().header(names.cache_backup).empty();
@@ -89,7 +90,8 @@
 
 }  // namespace
 
-TEST_CASE_FIXTURE(BackupWorld, "a copy is asked for of long streams alone") {
+TEST_CASE_FIXTURE(ResumeFixture,
+                  "only long streams of replicating engines are sent with a backup engine") {
   ask("/stream/x");
   CHECK_FALSE(backup.empty());
   CHECK(backup != run->request.endpoint.value());
@@ -103,16 +105,16 @@
   CHECK(statistics.streams_replicated == 1);
 }
 
-// Events would be lost, repeated or cut, or the caller see two answers.
-TEST_CASE_FIXTURE(BackupWorld,
-                  "a stream broken inside an event goes on behind the last whole one") {
+// Guards against lost, duplicate or truncated events, and against a second response head.
+TEST_CASE_FIXTURE(ResumeFixture,
+                  "a stream that fails inside an event is resumed after the last complete event") {
   const auto caller = begin("/stream/x");
   advance(300ms);
   run->fail(HttpErrc::kTruncated, true);
-  REQUIRE(continues());
+  REQUIRE(resumed_at_backup());
   CHECK(last().header("last-event-id") == "1");
   CHECK(last().header("x-deadline-ms") == "1700");
-  CHECK(statistics.repeats == 1);
+  CHECK(statistics.retries == 1);
   last().answer(200, {{names.signature, "other"}},
                 "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n");
   CHECK(caller->header(names.signature) == "sig");
@@ -121,55 +123,57 @@
   CHECK(statistics.continued_whole == 1);
 }
 
-// An engine without a copy would run a request that may not be repeated a second time: a prompt
-// that ends its server leaves no copy.
-TEST_CASE_FIXTURE(BackupWorld, "a stream that breaks before its first event does not go on") {
-  bool headed = false;
-  SUBCASE("with the first server's head") {
-    headed = true;
-  }
-  SUBCASE("without a head") {}
+// Guards against running a request twice that must not be retried: an engine that crashes during
+// prefill leaves no copy, and an engine without a copy would run the request again.
+TEST_CASE_FIXTURE(ResumeFixture, "a stream that fails before its first event is not resumed") {
+  bool head_received = false;
+  SUBCASE("after the response head") {
+    head_received = true;
+  }
+  SUBCASE("before the response head") {}
   const auto caller = ask("/stream/x");
-  if (headed) {
+  if (head_received) {
     run->observer->on_head({200, {signature()}});
   }
-  run->fail(headed ? HttpErrc::kTruncated : HttpErrc::kStaleConnection, true);
+  run->fail(head_received ? HttpErrc::kTruncated : HttpErrc::kStaleConnection, true);
   CHECK(sends() == 1);
   CHECK(caller->ended());
   CHECK(statistics.streams_continued == 0);
 }
 
-// A request that may not be repeated would run anew, or one that may be left without its repeat.
-TEST_CASE("without its copy only a stream that may be repeated is sent anew") {
+// Guards against running a request again that must not be retried, and against not retrying one
+// that may be.
+TEST_CASE("if its resume fails, only a retryable stream is sent again") {
   for (const std::string path : {"/stream/x", "/resumable/x"}) {
     for (const HttpErrc failure : {HttpErrc::kReset, HttpErrc::kConnect, HttpErrc::kWithdrawn}) {
       CAPTURE(path);
       CAPTURE(http::describe(failure));
-      BackupWorld world;
-      const auto caller = world.begin(path);
-      world.run->fail(HttpErrc::kReset, true);
-      REQUIRE(world.continues());
+      ResumeFixture fixture;
+      const auto caller = fixture.begin(path);
+      fixture.run->fail(HttpErrc::kReset, true);
+      REQUIRE(fixture.resumed_at_backup());
       if (failure == HttpErrc::kReset) {
-        world.last().answer(503, {{world.names.not_run, "1"}}, "");
-        CHECK(world.statistics.copies_missing == 1);
+        fixture.last().answer(503, {{fixture.names.not_run, "1"}}, "");
+        CHECK(fixture.statistics.copies_missing == 1);
       } else {
-        world.last().fail(failure, false);
+        fixture.last().fail(failure, false);
       }
-      const bool anew = path == "/resumable/x";
-      REQUIRE(world.sends() == (anew ? 3 : 2));
-      CHECK(caller->aborted == !anew);
-      // A continuation that did not leave has taken the unit of the budget for the next send.
-      CHECK(world.statistics.repeats == (anew && failure == HttpErrc::kReset ? 2 : 1));
-      if (anew) {
-        CHECK(world.last().request.endpoint != world.run->request.endpoint);
-        CHECK(world.last().header(world.names.cache_source).empty());
-        CHECK(world.last().header("last-event-id") == "1");
+      const bool retryable = path == "/resumable/x";
+      REQUIRE(fixture.sends() == (retryable ? 3 : 2));
+      CHECK(caller->aborted == !retryable);
+      // A resume that was not sent leaves its unit of the budget to the next send.
+      CHECK(fixture.statistics.retries == (retryable && failure == HttpErrc::kReset ? 2 : 1));
+      if (retryable) {
+        CHECK(fixture.last().request.endpoint != fixture.run->request.endpoint);
+        CHECK(fixture.last().header(fixture.names.cache_source).empty());
+        CHECK(fixture.last().header("last-event-id") == "1");
       }
     }
   }
 }
 
-TEST_CASE_FIXTURE(BackupWorld, "after a second break a stream goes on only as its route allows") {
+TEST_CASE_FIXTURE(ResumeFixture,
+                  "after a second failure a stream is retried only if its route allows it") {
   const auto once = begin("/stream/x");
   run->fail(HttpErrc::kReset, true);
   last().fail(HttpErrc::kReset, true);
@@ -178,21 +182,22 @@
   CHECK(guard.kinds.size() == 2);
 
   transport.started.clear();
-  const auto often = begin("/thrice/x");
+  const auto retried = begin("/thrice/x");
   run->fail(HttpErrc::kReset, true);
-  REQUIRE(continues());
+  REQUIRE(resumed_at_backup());
   last().fail(HttpErrc::kReset, true);
   REQUIRE(sends() == 3);
   CHECK(last().header(names.cache_source).empty());
   CHECK(last().header(names.cache_backup).empty());
   CHECK(last().header("last-event-id") == "1");
   last().fail(HttpErrc::kReset, true);
-  CHECK(often->aborted);
+  CHECK(retried->aborted);
 }
 
-// A stream would end that neither its route nor its copy was asked to save.
-TEST_CASE_FIXTURE(BackupWorld,
-                  "a stale connection is no break only where the request is sent anew") {
+// Guards against a stream that fails although neither a retry nor a resume was tried.
+TEST_CASE_FIXTURE(ResumeFixture,
+                  "after a failure on a stale connection a stream is sent again only if its route "
+                  "has an attempt left") {
   ask("/resumable/x");
   run->fail(HttpErrc::kStaleConnection, true);
   CHECK(sends() == 2);
@@ -203,15 +208,16 @@
   CHECK(sends() == 1);
 }
 
-// The stream would run at two servers at once.
-TEST_CASE_FIXTURE(BackupWorld, "a silent server is left only once it is known to have ended") {
+// Guards against running the stream at two servers at once.
+TEST_CASE_FIXTURE(ResumeFixture,
+                  "an unresponsive server is left only if it is known to have terminated") {
   const auto caller = begin("/stream/x");
   SUBCASE("timed out") {
     run->fail(HttpErrc::kTimeout, true);
     CHECK(sends() == 1);
     CHECK(caller->aborted);
   }
-  SUBCASE("gone, but still sending") {
+  SUBCASE("unregistered, but still sending") {
     fleet.remove(runner_id());
     served.on_backend_unregistered(runner_id());
     for (const char* rest : {"ta: b\n\n", "id: 3\ndata: c\n\n"}) {
@@ -220,7 +226,7 @@
     }
     CHECK(sends() == 1);
   }
-  SUBCASE("gone, and its backup with it") {
+  SUBCASE("unregistered together with its backup engine") {
     fleet.remove(backup_id());
     fleet.remove(runner_id());
     served.on_backend_unregistered(runner_id());
@@ -228,26 +234,27 @@
     CHECK(run->open);
     CHECK(sends() == 1);
   }
-  SUBCASE("gone, while the caller takes nothing and reading is stopped") {
+  SUBCASE("unregistered while the caller reads nothing and reading is stopped") {
     caller->buffered = 1;
     fleet.remove(runner_id());
     served.on_backend_unregistered(runner_id());
     advance(1500ms);
     CHECK(run->open);
   }
-  SUBCASE("gone and silent") {
+  SUBCASE("unregistered and unresponsive") {
     fleet.remove(runner_id());
     served.on_backend_unregistered(runner_id());
     advance(800ms);
     CHECK(run->open);
     advance(200ms);
     CHECK_FALSE(run->open);
-    CHECK(continues());
+    CHECK(resumed_at_backup());
   }
 }
 
-// Something would be sent beyond the budget, to an engine that leaves, or for nobody.
-TEST_CASE_FIXTURE(BackupWorld, "nothing is sent on where it may not be") {
+// Guards against a send that exceeds the budget, goes to an engine that is leaving, or is not
+// allowed for the request.
+TEST_CASE_FIXTURE(ResumeFixture, "a stream is not resumed if a condition for it is not met") {
   const auto caller = begin("/stream/x");
   SUBCASE("budget") {
     budget.set({0, 0, 10s});
@@ -255,8 +262,8 @@
   SUBCASE("leaving") {
     fleet.note_leaving(backup_id());
   }
-  SUBCASE("paused") {
-    gate.paused.insert(backup_id());
+  SUBCASE("backing off") {
+    gate.backed_off.insert(backup_id());
   }
   SUBCASE("full") {
     gate.full.insert(backup_id());
@@ -264,7 +271,7 @@
   SUBCASE("denied") {
     gate.denies.insert(backup_id());
   }
-  SUBCASE("gone") {
+  SUBCASE("unregistered") {
     fleet.remove(backup_id());
   }
   SUBCASE("quarantined") {
@@ -282,36 +289,38 @@
   CHECK_FALSE(caller->finished);
 }
 
-// The retry budget would be charged for a send that its rate limit denied.
-TEST_CASE_FIXTURE(BackupWorld, "a denied continuation and the repeat after it take one unit") {
+// Guards against charging the retry budget for a send that a rate limit denied.
+TEST_CASE_FIXTURE(ResumeFixture,
+                  "a denied resume and the retry after it take one unit of the retry budget") {
   begin("/resumable/x");
   SUBCASE("at once") {
     gate.denies.insert(backup_id());
     run->fail(HttpErrc::kReset, true);
   }
   SUBCASE("later") {
-    gate.asks = true;
+    gate.claims_pending = true;
     run->fail(HttpErrc::kReset, true);
     REQUIRE(gate.claims.size() == 1);
-    gate.asks = false;
+    gate.claims_pending = false;
     gate.settle(false);
   }
   CHECK(sends() == 2);
   CHECK(last().header(names.cache_source).empty());
-  CHECK(statistics.repeats == 1);
+  CHECK(statistics.retries == 1);
 }
 
-// The wait for leave to send would outlast what allowed it.
-TEST_CASE_FIXTURE(BackupWorld, "what changes while leave is asked for is heeded") {
+// The conditions for a resume may change while its claim is pending.
+TEST_CASE_FIXTURE(ResumeFixture,
+                  "the conditions for a resume are checked again when its claim is granted") {
   const auto caller = begin("/stream/x");
-  gate.asks = true;
+  gate.claims_pending = true;
   run->fail(HttpErrc::kReset, true);
   REQUIRE(gate.claims.size() == 1);
   CHECK(gate.ranks.back() == kStartedStreamRank);
   bool granted = true;
   SUBCASE("granted") {
     gate.settle(true);
-    CHECK(continues());
+    CHECK(resumed_at_backup());
     return;
   }
   SUBCASE("denied") {
@@ -320,28 +329,28 @@
   SUBCASE("leaving") {
     fleet.note_leaving(backup_id());
   }
-  SUBCASE("paused") {
-    gate.paused.insert(backup_id());
+  SUBCASE("backing off") {
+    gate.backed_off.insert(backup_id());
   }
   SUBCASE("quarantined") {
     guard.verdict = SendVerdict::kRefused;
   }
-  SUBCASE("caller gone") {
-    caller->leave();
+  SUBCASE("caller disconnected") {
+    caller->disconnect();
   }
   SUBCASE("stopped") {
-    served.end_all();
+    served.finish_all();
   }
   SUBCASE("deadline") {
     advance(2s);
   }
   gate.settle(granted);
   CHECK(sends() == 1);
-  CHECK((caller->aborted || caller->gone));
+  CHECK((caller->aborted || caller->disconnected));
 }
 
-// A request under which servers end would be given a second one.
-TEST_CASE_FIXTURE(BackupWorld, "the trial of a quarantined request has no backup") {
+// Guards against giving a second server to a request that crashes its servers.
+TEST_CASE_FIXTURE(ResumeFixture, "the trial of a quarantined request has no backup") {
   guard.verdict = SendVerdict::kTrialDue;
   ask("/stream/x");
   guard.trial(true);
@@ -351,8 +360,10 @@
   CHECK(sends() == 1);
 }
 
-// A handle would be freed under its runner, or sent to the backup beside the run.
-TEST_CASE_FIXTURE(BackupWorld, "a cache handle that the first server took is not passed on") {
+// Guards against releasing the handle while the runner uses it, and against sending it to the
+// backup engine together with the run.
+TEST_CASE_FIXTURE(ResumeFixture,
+                  "a cache handle that the first server used is not sent to the backup engine") {
   add_backend("p1", "llm", EngineRole::kPrefill);
   const auto caller = ask("/stream/x", "18000,6000", {{names.prompt_parts, "cc:9000,dd:9000"}});
   REQUIRE(last().header(names.phase) == "prefill");
@@ -370,8 +381,8 @@
   CHECK(transport.forgotten.empty());
 }
 
-// Part of the events would be missing or come twice.
-TEST_CASE_FIXTURE(BackupWorld, "a stream without event ids is not continued") {
+// Guards against missing or duplicate events.
+TEST_CASE_FIXTURE(ResumeFixture, "a stream without event ids is not resumed") {
   const auto caller = ask("/stream/x");
   run->observer->on_head({200, {signature()}});
   run->observer->on_body("data: a\n\n");
--- a/src/gateway/tests/stream_backup_test.cc
+++ b/src/gateway/tests/stream_backup_test.cc
@@ -1,4 +1,4 @@
-// Which engine backs up a stream, and whether a broken stream may continue there.
+// Tests of the choice of a backup engine and of whether a failed stream may be resumed there.
 #include "gateway/stream_backup.h"
 
 #include <doctest/doctest.h>
@@ -49,37 +49,38 @@
 
 }  // namespace
 
-// Copies of short streams, or of other requests, would take memory and bandwidth for nothing.
-TEST_CASE("only long streams of engines that replicate want a backup") {
+// Copies of short streams or of other requests would waste memory and bandwidth.
+TEST_CASE("only long streams of engines that replicate are backed up") {
   const Route stream = GatewayFixture::make_route("/s", RequestKind::kStreaming, "llm", 1, false);
   const Route plain = GatewayFixture::make_route("/p", RequestKind::kIdempotent, "llm", 1, false);
   const EngineShape shape{.tokens_per_event = 75, .backs_up_streams = true};
-  const EngineShape silent{.tokens_per_event = 75};
-  const EngineShape unknown{.backs_up_streams = true};
-  const Prompt lengthy = parse_prompt("", "200,5000", "600");
-  const Prompt brief = parse_prompt("", "200,5000", "599");
-  CHECK(wants_backup(stream, &shape, &lengthy, "r1", true));
-  CHECK_FALSE(wants_backup(stream, &shape, &brief, "r1", true));
+  const EngineShape no_backups{.tokens_per_event = 75};
+  const EngineShape no_event_size{.backs_up_streams = true};
+  const Prompt long_prompt = parse_prompt("", "200,5000", "600");
+  const Prompt short_prompt = parse_prompt("", "200,5000", "599");
+  CHECK(wants_backup(stream, &shape, &long_prompt, "r1", true));
+  CHECK_FALSE(wants_backup(stream, &shape, &short_prompt, "r1", true));
   Route resumable = stream;
   resumable.resumable = true;
   resumable.most_attempts = 2;
-  CHECK(wants_backup(resumable, &shape, &lengthy, "r1", true));
-  CHECK_FALSE(wants_backup(resumable, &shape, &lengthy, "r1", false));
+  CHECK(wants_backup(resumable, &shape, &long_prompt, "r1", true));
+  CHECK_FALSE(wants_backup(resumable, &shape, &long_prompt, "r1", false));
   resumable.most_attempts = 1;
-  CHECK(wants_backup(resumable, &shape, &lengthy, "r1", false));
-  CHECK_FALSE(wants_backup(stream, &shape, &lengthy, "", true));
+  CHECK(wants_backup(resumable, &shape, &long_prompt, "r1", false));
+  CHECK_FALSE(wants_backup(stream, &shape, &long_prompt, "", true));
   CHECK_FALSE(wants_backup(stream, &shape, nullptr, "r1", true));
-  CHECK_FALSE(wants_backup(stream, &silent, &lengthy, "r1", true));
-  CHECK_FALSE(wants_backup(stream, &unknown, &lengthy, "r1", true));
-  CHECK_FALSE(wants_backup(stream, nullptr, &lengthy, "r1", true));
-  CHECK_FALSE(wants_backup(plain, &shape, &lengthy, "r1", true));
+  CHECK_FALSE(wants_backup(stream, &no_backups, &long_prompt, "r1", true));
+  CHECK_FALSE(wants_backup(stream, &no_event_size, &long_prompt, "r1", true));
+  CHECK_FALSE(wants_backup(stream, nullptr, &long_prompt, "r1", true));
+  CHECK_FALSE(wants_backup(plain, &shape, &long_prompt, "r1", true));
 }
 
-// A copy at an engine that ends, refuses or reads prompts only would be lost when it is needed.
+// A copy at an engine that terminates, refuses requests or only prefills could not be used when it
+// is needed.
 TEST_CASE_FIXTURE(BackupFixture,
-                  "a copy goes to a healthy engine, in the runner's zone if it can") {
+                  "a copy goes to a healthy engine, if possible in the runner's zone") {
   add("run", "a");
-  add("reader", "a", EngineRole::kPrefill);
+  add("prefiller", "a", EngineRole::kPrefill);
   CHECK(choose().empty());
   add("far", "b");
   CHECK(choose() == "far");
@@ -103,9 +104,9 @@
   CHECK(choose() == "far");
 }
 
-// One engine would hold all copies, or a busy one be loaded further.
+// Guards against one engine holding all copies and against loading a busy engine further.
 TEST_CASE_FIXTURE(BackupFixture,
-                  "copies spread over the less loaded half, as a request's id says") {
+                  "copies are distributed over the less loaded half of the engines by request id") {
   add("run", "a");
   for (int i = 0; i != 8; ++i) {
     const std::string id = "e" + std::to_string(i);
@@ -126,8 +127,9 @@
   }
 }
 
-// A walk over thousands of engines for each stream would stall a small node.
-TEST_CASE_FIXTURE(BackupFixture, "of a large fleet an engine of the zone is found from a sample") {
+// Comparing thousands of engines for each stream would stall a small node.
+TEST_CASE_FIXTURE(BackupFixture,
+                  "in a large fleet an engine of the same zone is chosen from a sample") {
   add("run", "a");
   for (int i = 0; i != 2000; ++i) {
     add("e" + std::to_string(i), i % 4 == 0 ? "a" : "b");
@@ -140,23 +142,25 @@
   }
 }
 
-// The same stream would run at two engines at once, or a stream go on in the wrong place.
-TEST_CASE_FIXTURE(BackupFixture, "what ended a run decides whether its copy may be used") {
+// Guards against running a stream at two engines at once and against resuming it at a wrong
+// position.
+TEST_CASE_FIXTURE(BackupFixture,
+                  "the cause of a run's failure decides whether its copy may be used") {
   add("run", "a");
   add("copy", "a");
   StreamBackup backup = begun();
   using http::HttpErrc;
-  CHECK(backup.obstacle({.error = HttpErrc::kReset}, now) == BackupObstacle::kNotBegun);
+  CHECK(backup.obstacle({.error = HttpErrc::kReset}, now) == BackupObstacle::kNoEventReceived);
   backup.note_event({"id: 1\n\n", 1});
   CHECK(backup.obstacle({.error = HttpErrc::kReset}, now) == BackupObstacle::kNone);
   CHECK(backup.obstacle({.error = HttpErrc::kTruncated}, now) == BackupObstacle::kNone);
   CHECK(backup.obstacle({.error = HttpErrc::kStaleConnection}, now) == BackupObstacle::kNone);
-  CHECK(backup.obstacle({.error = HttpErrc::kStaleConnection, .repeatable = true}, now) ==
-        BackupObstacle::kUnsent);
+  CHECK(backup.obstacle({.error = HttpErrc::kStaleConnection, .retry_allowed = true}, now) ==
+        BackupObstacle::kRetryPreferred);
   for (const HttpErrc error : {HttpErrc::kTimeout, HttpErrc::kCancelled, HttpErrc::kTooLarge}) {
-    CHECK(backup.obstacle({.error = error}, now) == BackupObstacle::kRunnerMayWork);
+    CHECK(backup.obstacle({.error = error}, now) == BackupObstacle::kRunnerMayBeRunning);
   }
-  CHECK(backup.obstacle({.error = HttpErrc::kTimeout, .runner_gone = true}, now) ==
+  CHECK(backup.obstacle({.error = HttpErrc::kTimeout, .runner_terminated = true}, now) ==
         BackupObstacle::kNone);
   CHECK(backup.obstacle({.has_time = false}, now) == BackupObstacle::kNoTime);
   backup.note_event({": still here\n\n", std::nullopt});
@@ -165,17 +169,18 @@
   CHECK(backup.obstacle({}, now) == BackupObstacle::kUnknownPosition);
 }
 
-// The address of the backup may be another engine's, or one break be followed by another for ever.
-TEST_CASE_FIXTURE(BackupFixture, "a copy is not used where its engine was replaced, or twice") {
+// Guards against resuming at another engine that has taken over the address, and against endless
+// resumes.
+TEST_CASE_FIXTURE(BackupFixture, "a copy is not used twice, nor if its engine was replaced") {
   add("run", "a");
   add("copy", "a");
   StreamBackup backup = begun();
   CHECK(backup.source().runner == Endpoint("run:1"));
   backup.note_event({"id: 1\n\n", 1});
   loads.of(BackendId("copy")).end(AttemptVerdict::kReplaced, now);
-  CHECK(backup.obstacle({}, now) == BackupObstacle::kGone);
-  backup.note_used();
-  CHECK(backup.obstacle({}, now) == BackupObstacle::kUsed);
+  CHECK(backup.obstacle({}, now) == BackupObstacle::kNotRegistered);
+  backup.mark_used();
+  CHECK(backup.obstacle({}, now) == BackupObstacle::kAlreadyUsed);
   CHECK_FALSE(backup.begin_run(*fleet.find(BackendId("run")), tried, now));
   CHECK(backup.obstacle({}, now) == BackupObstacle::kNoBackup);
 }
