--- a/src/admission/admission_control.cc
+++ b/src/admission/admission_control.cc
@@ -119,7 +119,7 @@
   log("back end asks to back off", backend, "answer", backoff.span);
   const gateway::BackendLoad* load = world_.loads.find(backend);
   const bool known_to_all =
-      load != nullptr && load->told_pause_until() + kSamePause >= now + backoff.span;
+      load != nullptr && load->peer_backoff_until() + kSamePause >= now + backoff.span;
   if (!known_to_all) {
     tell_all_({.backend = backend, .leaving = false, .backoff = backoff.span});
   }
@@ -147,7 +147,7 @@
   }
   ++statistics_.backoffs_told;
   const Duration believed = std::min(notice.backoff, kMostToldPause);
-  world_.loads.of(notice.backend).note_told_pause(world_.clock.now() + believed);
+  world_.loads.of(notice.backend).note_peer_backoff(world_.clock.now() + believed);
 }
 
 void AdmissionControl::tell_all(const std::function<void(const BackendNotice&)>& send) const {
--- a/src/admission/backoff_table.cc
+++ b/src/admission/backoff_table.cc
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "gateway/backend_life.h"
+#include "gateway/backend_incarnation.h"
 
 namespace ochrespring::admission {
 
@@ -13,8 +13,8 @@
   prune(now);
   Entry& entry = entries_[backend];
   const MonotonicTime until = now + span;
-  if (gateway::may_be_reborn(backend)) {
-    last_pauses_[std::string(gateway::name_of(backend))] = {.heard = now, .until = until};
+  if (gateway::has_incarnation(backend)) {
+    last_pauses_[std::string(gateway::backend_name(backend))] = {.heard = now, .until = until};
   }
   if (until <= entry.until) {
     return false;
@@ -24,7 +24,7 @@
 }
 
 void BackoffTable::note_known(const gateway::BackendId& backend, MonotonicTime now) {
-  const auto found = last_pauses_.find(std::string(gateway::name_of(backend)));
+  const auto found = last_pauses_.find(std::string(gateway::backend_name(backend)));
   if (found == last_pauses_.end() || now - found->second.heard > kRegistrationLag) {
     return;
   }
--- a/src/admission_queue/tests/queued_request_test.cc
+++ b/src/admission_queue/tests/queued_request_test.cc
@@ -384,6 +384,6 @@
   profiles.prompt_token = 1ms;
   CHECK_FALSE(has_room());
   // A prompt that misses its target by itself is not kept from an idle engine.
-  world.loads.note_read(BackendId("d"), 4'100);
+  world.loads.note_prefilled(BackendId("d"), 4'100);
   CHECK(has_room());
 }
--- a/src/discovery/tests/plain_codec.h
+++ b/src/discovery/tests/plain_codec.h
@@ -7,7 +7,7 @@
 #include <string_view>
 
 #include "discovery/fleet_codec.h"
-#include "gateway/backend_life.h"
+#include "gateway/backend_incarnation.h"
 
 namespace ochrespring::discovery::testing {
 
--- a/src/discovery/view_writer.cc
+++ b/src/discovery/view_writer.cc
@@ -67,7 +67,7 @@
 bool ViewWriter::begin_life(shared_store::StoreRevision told) {
   const bool later = seen_ && told.era() > seen_->era();
   if (later) {
-    fleet_.doubt_gone(clock_.now() + kDoubtful);
+    fleet_.distrust_removed(clock_.now() + kDoubtful);
   }
   return later;
 }
@@ -281,7 +281,7 @@
 void ViewWriter::take_backend_entry(const shared_store::Change& change) {
   const std::string name = change.key.substr(codec_.layout().backend_prefix.size());
   auto backend = change.value ? entries_.read_backend(change) : std::nullopt;
-  for (const gateway::BackendId& life : fleet_.lives_of(name)) {
+  for (const gateway::BackendId& life : fleet_.incarnations_of(name)) {
     if (!backend || backend->id != life) {
       take(BackendChange{change.revision, life, std::nullopt});
     }
--- a/src/fleet_control/server_controller.cc
+++ b/src/fleet_control/server_controller.cc
@@ -53,7 +53,7 @@
     return;
   }
   for (const gateway::Service& service : world_.fleet.routes()->configuration().services) {
-    if (service.market) {
+    if (service.scaling) {
       steer(*fence, service);
     }
   }
@@ -110,7 +110,7 @@
 ServersByZone ServerController::count_servers(const gateway::Service& service) const {
   ServersByZone servers;
   // A zone that has lost all its servers still is one.
-  for (const auto& [zone, price] : service.market->zone_prices) {
+  for (const auto& [zone, price] : service.scaling->zone_prices) {
     servers[zone] = {};
   }
   for (const auto& [id, backend] : world_.fleet.backends()) {
@@ -125,18 +125,19 @@
 void ServerController::steer(Fence fence, const gateway::Service& service) {
   const ServersByZone present = count_servers(service);
   if (calling_ || both_in_all(present) == 0 || !know_need(service.name, present) ||
-      !preemptible_pays(*service.market, present.size(), options_.plan)) {
+      !preemptible_pays(*service.scaling, present.size(), options_.plan)) {
     return;
   }
   const std::uint32_t needed = needed_.at(service.name);
   note_supply(service.name, present);
-  for (const auto& [zone, wanted] : plan_servers(*service.market, needed, present, options_.plan)) {
+  for (const auto& [zone, wanted] :
+       plan_servers(*service.scaling, needed, present, options_.plan)) {
     const ZoneServers& there = present.at(zone);
     order(fence, {service.name, zone, true}, wanted.preemptible, there.preemptible,
-          service.market->boot);
+          service.scaling->boot);
     order(fence, {service.name, zone, false},
           regular_now(service.name, wanted.regular, there.regular), there.regular,
-          service.market->boot);
+          service.scaling->boot);
   }
 }
 
--- a/src/fleet_control/server_plan.cc
+++ b/src/fleet_control/server_plan.cc
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-bool preemptible_pays(const gateway::ServerMarket& market, std::size_t zones,
+bool preemptible_pays(const gateway::ServerScaling& market, std::size_t zones,
                       const ServerPlanOptions& options) {
   if (!market.preemptible_price || zones < 2) {
     return false;
@@ -36,7 +36,7 @@
   return *market.preemptible_price * options.head_room * spares < 1.0;
 }
 
-ServersByZone plan_servers(const gateway::ServerMarket& market, std::uint32_t needed,
+ServersByZone plan_servers(const gateway::ServerScaling& market, std::uint32_t needed,
                            const ServersByZone& present, const ServerPlanOptions& options) {
   ServersByZone plan;
   const std::size_t zones = present.size();
@@ -51,13 +51,13 @@
                round_up(static_cast<double>(missing) / static_cast<double>(zones)));
   for (const auto& [zone, servers] : present) {
     ZoneServers& wanted = plan[zone];
-    wanted.regular = std::min(regular_least, market.most);
+    wanted.regular = std::min(regular_least, market.max_servers);
     // Regular servers that are given up make room only once they have gone.
     const std::uint32_t taken = std::max(wanted.regular, servers.regular);
     wanted.preemptible = std::min(preemptible_per_zone(needed, zones, options),
-                                  market.most - std::min(market.most, taken));
-    if (wanted.regular + wanted.preemptible < market.least) {
-      wanted.regular = market.least - wanted.preemptible;
+                                  market.max_servers - std::min(market.max_servers, taken));
+    if (wanted.regular + wanted.preemptible < market.min_servers) {
+      wanted.regular = market.min_servers - wanted.preemptible;
     }
   }
   return plan;
--- a/src/fleet_control/server_plan.h
+++ b/src/fleet_control/server_plan.h
@@ -35,11 +35,11 @@
 /// with spares for the loss of the largest zone they cost less, every zone has as many; regular
 /// servers are given up as preemptible ones come to take requests, and are ordered anew only as far
 /// as both kinds together fall short. Pure.
-ServersByZone plan_servers(const gateway::ServerMarket& market, std::uint32_t needed,
+ServersByZone plan_servers(const gateway::ServerScaling& market, std::uint32_t needed,
                            const ServersByZone& present, const ServerPlanOptions& options);
 
 /// Whether preemptible servers pay under that rule in a service of `zones` zones.
-bool preemptible_pays(const gateway::ServerMarket& market, std::size_t zones,
+bool preemptible_pays(const gateway::ServerScaling& market, std::size_t zones,
                       const ServerPlanOptions& options);
 
 }  // namespace ochrespring::fleet_control
--- a/src/fleet_control/tests/server_controller_test.cc
+++ b/src/fleet_control/tests/server_controller_test.cc
@@ -98,15 +98,15 @@
   ControllerFixture() {
     gateway::Configuration configuration;
     configuration.version = gateway::ConfigurationVersion(1);
-    gateway::ServerMarket market;
-    market.least = 1;
-    market.most = 20;
+    gateway::ServerScaling market;
+    market.min_servers = 1;
+    market.max_servers = 20;
     market.boot = 4s;
     market.preemptible_price = 0.2;
     for (const ZoneName& zone : kZones) {
       market.zone_prices[zone] = 1.0;
     }
-    configuration.services = {{.name = kService, .market = market}};
+    configuration.services = {{.name = kService, .scaling = market}};
     fleet.apply(std::move(configuration));
     lease.on_gained([this] { controller.on_gained(); });
     lease.start();
--- a/src/fleet_control/tests/server_plan_test.cc
+++ b/src/fleet_control/tests/server_plan_test.cc
@@ -13,10 +13,10 @@
 const ZoneName kB("b");
 const ZoneName kC("c");
 
-gateway::ServerMarket make_market(double price) {
-  gateway::ServerMarket market;
-  market.least = 1;
-  market.most = 94;
+gateway::ServerScaling make_market(double price) {
+  gateway::ServerScaling market;
+  market.min_servers = 1;
+  market.max_servers = 94;
   market.preemptible_price = price;
   return market;
 }
@@ -27,7 +27,7 @@
   CHECK(preemptible_pays(make_market(0.18), 3, {}));
   CHECK_FALSE(preemptible_pays(make_market(0.7), 3, {}));
   CHECK_FALSE(preemptible_pays(make_market(0.18), 1, {}));
-  CHECK_FALSE(preemptible_pays(gateway::ServerMarket{.least = 1, .most = 94}, 3, {}));
+  CHECK_FALSE(preemptible_pays(gateway::ServerScaling{.min_servers = 1, .max_servers = 94}, 3, {}));
   CHECK_FALSE(preemptible_pays(make_market(0.5), 3, {.head_room = 1.5}));
 }
 
@@ -61,21 +61,22 @@
 
 TEST_CASE("no plan breaks the bounds of a zone") {
   CHECK(rc::check("both kinds together stay between the least and the most", [] {
-    gateway::ServerMarket market = make_market(*rc::gen::inRange(1, 30) / 100.0);
-    market.most = *rc::gen::inRange(1U, 100U);
-    market.least = *rc::gen::inRange(0U, market.most + 1);
+    gateway::ServerScaling market = make_market(*rc::gen::inRange(1, 30) / 100.0);
+    market.max_servers = *rc::gen::inRange(1U, 100U);
+    market.min_servers = *rc::gen::inRange(0U, market.max_servers + 1);
     ServersByZone present;
     const int zones = *rc::gen::inRange(2, 6);
     std::uint32_t needed = 0;
     for (int i = 0; i != zones; ++i) {
-      const auto regular = *rc::gen::inRange(0U, market.most + 1);
-      present[ZoneName(std::to_string(i))] = {regular, *rc::gen::inRange(0U, market.most + 1)};
+      const auto regular = *rc::gen::inRange(0U, market.max_servers + 1);
+      present[ZoneName(std::to_string(i))] = {regular,
+                                              *rc::gen::inRange(0U, market.max_servers + 1)};
       needed += regular;
     }
     for (const auto& [zone, wanted] :
          plan_servers(market, needed, present, {.regular_part = 0.1})) {
-      RC_ASSERT(wanted.regular + wanted.preemptible <= market.most);
-      RC_ASSERT(wanted.regular + wanted.preemptible >= market.least);
+      RC_ASSERT(wanted.regular + wanted.preemptible <= market.max_servers);
+      RC_ASSERT(wanted.regular + wanted.preemptible >= market.min_servers);
     }
   }));
 }
--- a/src/fuzzing/targets/store_entries.cc
+++ b/src/fuzzing/targets/store_entries.cc
@@ -48,7 +48,7 @@
   }
   void require_good() const {
     fuzzing::require(fleet.routes() != nullptr);
-    fuzzing::require(fleet.lives_of("good").size() == 1);
+    fuzzing::require(fleet.incarnations_of("good").size() == 1);
     fuzzing::require(nodes.others().contains(NodeId("good")));
   }
 };
--- a/src/gateway/attempt.h
+++ b/src/gateway/attempt.h
@@ -45,17 +45,17 @@
 };
 
 /// Whether the back end has not read the prompt, whatever else became of the attempt.
-inline bool is_certainly_unread(AttemptVerdict verdict) {
-  return verdict == AttemptVerdict::kRefused || verdict == AttemptVerdict::kNotSent ||
-         verdict == AttemptVerdict::kUnreachable;
+inline bool is_certainly_unread(AttemptOutcome verdict) {
+  return verdict == AttemptOutcome::kRefused || verdict == AttemptOutcome::kNotSent ||
+         verdict == AttemptOutcome::kUnreachable;
 }
 
 /// Of a prefill call that gave no handle: an engine that turns a request away is not ill.
-inline AttemptVerdict verdict_of_failed_prefill(const BackendStatement& statement) {
+inline AttemptOutcome verdict_of_failed_prefill(const BackendStatement& statement) {
   if (statement.misdirected) {
-    return AttemptVerdict::kReplaced;
+    return AttemptOutcome::kReplaced;
   }
-  return statement.not_run ? AttemptVerdict::kRefused : AttemptVerdict::kFailed;
+  return statement.not_run ? AttemptOutcome::kRefused : AttemptOutcome::kFailed;
 }
 
 }  // namespace ochrespring::gateway
--- a/src/gateway/attempt_starter.cc
+++ b/src/gateway/attempt_starter.cc
@@ -14,8 +14,8 @@
   attempt.started = now;
   attempt.prefill = kind == SendKind::kPrefill;
   assign_caches(attempt, choice, kind, input);
-  attempt.tokens_ahead =
-      environment_.loads.own(id).unread_tokens + environment_.loads.others(id, now).unread_tokens;
+  attempt.tokens_ahead = environment_.loads.own(id).pending_prefill_tokens +
+                         environment_.loads.others(id, now).pending_prefill_tokens;
   environment_.loads.begin(id, attempt.unread_tokens);
   if (input.prompt != nullptr && !attempt.continues) {
     environment_.loads.note_prompt(id, *input.prompt, now);
@@ -34,7 +34,7 @@
     return;
   }
   attempt.uses_cache = kind == SendKind::kRun && cache_.held();
-  attempt.unread_tokens = attempt.uses_cache ? 0 : choice.unread_tokens;
+  attempt.unread_tokens = attempt.uses_cache ? 0 : choice.prefill_tokens;
   if (!attempt.uses_cache && choice.cache_source != nullptr) {
     attempt.cache_source = choice.cache_source->address;
     ++counts.cache_fetches;
@@ -88,7 +88,7 @@
 /// This node's part of the connections that a back end takes from all callers. Where there are more
 /// nodes than connections none is kept: one for each node would be more than the back end takes.
 std::size_t AttemptStarter::connection_share(const Service* service) const {
-  const std::uint32_t all = service == nullptr ? 1 : service->most_connections;
+  const std::uint32_t all = service == nullptr ? 1 : service->max_connections;
   return all / std::max(1U, environment_.node_count());
 }
 
--- /dev/null
+++ b/src/gateway/backend_incarnation.h
@@ -0,0 +1,39 @@
+// Ids that distinguish the incarnations of a back end.
+#pragma once
+
+#include <cstdint>
+#include <optional>
+#include <string>
+#include <string_view>
+
+#include "gateway/types.h"
+
+namespace ochrespring::gateway {
+
+/// Makes the id of one incarnation. A back end may restart under the same name, without any state
+/// of its earlier incarnation. Incarnations are distinguished by their start time `born` in Unix
+/// milliseconds, if the platform provides it. The time identifies an incarnation but does not order
+/// it, since the clock of a machine may go back. All state that a node keeps about a back end is
+/// keyed by this id and discarded with it.
+inline BackendId make_backend_id(std::string_view name, std::optional<std::uint64_t> born) {
+  std::string id(name);
+  if (born) {
+    id += '@' + std::to_string(*born);
+  } else if (name.find('@') != std::string_view::npos) {
+    // The name ends at the last '@'.
+    id += '@';
+  }
+  return BackendId(std::move(id));
+}
+
+/// Whether the id distinguishes incarnations: another one may then answer at the same address.
+inline bool has_incarnation(const BackendId& id) {
+  return id.value().find('@') != std::string::npos;
+}
+
+/// The name that the back end itself uses.
+inline std::string_view backend_name(const BackendId& id) {
+  return std::string_view(id.value()).substr(0, id.value().rfind('@'));
+}
+
+}  // namespace ochrespring::gateway
--- a/src/gateway/backend_index.cc
+++ b/src/gateway/backend_index.cc
@@ -10,14 +10,14 @@
 
 namespace {
 
-/// Draws for each back end that a sample is to have: of a group whose members are mostly refused
-/// the sample stays small, and the caller looks at all.
-constexpr std::size_t kDrawsOfEach = 4;
+/// Random draws per requested member of a sample. If `accept` refuses most of a group the sample
+/// stays small, and callers fall back to all().
+constexpr std::size_t kDrawsPerMember = 4;
 
 }  // namespace
 
-const Backend* first_by_weight(const std::vector<const Backend*>& backends, std::string_view key,
-                               const std::function<bool(const Backend&)>& accept) {
+const Backend* rendezvous_choice(const std::vector<const Backend*>& backends, std::string_view key,
+                                 const std::function<bool(const Backend&)>& accept) {
   const Backend* best = nullptr;
   std::uint64_t best_weight = 0;
   for (const Backend* backend : backends) {
@@ -30,31 +30,31 @@
   return best;
 }
 
-std::size_t BackendGroup::part_of(const BackendId& id) {
-  return stable_hash(id.value()) % kParts;
+std::size_t BackendGroup::bucket_of(const BackendId& id) {
+  return stable_hash(id.value()) % kBuckets;
 }
 
 void BackendGroup::add(const Backend& backend) {
-  parts_[part_of(backend.id)].push_back(&backend);
+  buckets_[bucket_of(backend.id)].push_back(&backend);
   ++size_;
 }
 
 void BackendGroup::remove(const Backend& backend) {
-  Part& part = parts_[part_of(backend.id)];
-  size_ -= std::erase_if(part, [&](const Backend* member) { return member->id == backend.id; });
+  Bucket& bucket = buckets_[bucket_of(backend.id)];
+  size_ -= std::erase_if(bucket, [&](const Backend* member) { return member->id == backend.id; });
 }
 
 const Backend* BackendGroup::home(std::string_view key, const Accept& accept) const {
   const std::uint64_t key_hash = stable_hash(key);
-  std::array<std::pair<std::uint64_t, std::size_t>, kParts> order;
-  for (std::size_t part = 0; part != kParts; ++part) {
-    order[part] = {combine_hashes(key_hash, part + 1), part};
+  std::array<std::pair<std::uint64_t, std::size_t>, kBuckets> order;
+  for (std::size_t bucket = 0; bucket != kBuckets; ++bucket) {
+    order[bucket] = {combine_hashes(key_hash, bucket + 1), bucket};
   }
-  // Mostly the first part has somebody to accept.
+  // Sorts lazily, since the first bucket usually has an accepted back end.
   auto unordered = order.begin();
   for (; unordered != order.end(); ++unordered) {
     std::iter_swap(unordered, std::max_element(unordered, order.end()));
-    if (const Backend* found = first_by_weight(parts_[unordered->second], key, accept)) {
+    if (const Backend* found = rendezvous_choice(buckets_[unordered->second], key, accept)) {
       return found;
     }
   }
@@ -64,12 +64,12 @@
 std::vector<const Backend*> BackendGroup::sample(std::size_t most, RandomSource& random,
                                                  const Accept& accept) const {
   std::vector<const Backend*> drawn;
-  for (std::size_t draws = kDrawsOfEach * most; draws != 0 && drawn.size() != most; --draws) {
-    const Part& part = parts_[random.below(kParts)];
-    if (part.empty()) {
+  for (std::size_t draws = kDrawsPerMember * most; draws != 0 && drawn.size() != most; --draws) {
+    const Bucket& bucket = buckets_[random.below(kBuckets)];
+    if (bucket.empty()) {
       continue;
     }
-    const Backend* member = part[random.below(part.size())];
+    const Backend* member = bucket[random.below(bucket.size())];
     const bool known = std::find(drawn.begin(), drawn.end(), member) != drawn.end();
     if (!known && accept(*member)) {
       drawn.push_back(member);
@@ -80,8 +80,8 @@
 
 std::vector<const Backend*> BackendGroup::all(const Accept& accept) const {
   std::vector<const Backend*> accepted;
-  for (const Part& part : parts_) {
-    std::copy_if(part.begin(), part.end(), std::back_inserter(accepted),
+  for (const Bucket& bucket : buckets_) {
+    std::copy_if(bucket.begin(), bucket.end(), std::back_inserter(accepted),
                  [&](const Backend* member) { return accept(*member); });
   }
   return accepted;
@@ -106,8 +106,8 @@
   }
 }
 
-const BackendGroup* BackendIndex::find(const ServiceName& service, bool readers) const {
-  const auto found = groups_.find({service, readers});
+const BackendGroup* BackendIndex::find(const ServiceName& service, bool prefill) const {
+  const auto found = groups_.find({service, prefill});
   return found == groups_.end() ? nullptr : &found->second;
 }
 
--- a/src/gateway/backend_index.h
+++ b/src/gateway/backend_index.h
@@ -1,4 +1,4 @@
-// The back ends of each service, found without walking all that there are.
+// Index of the back ends of each service, for lookups that do not scan the whole fleet.
 #pragma once
 
 #include <array>
@@ -14,51 +14,55 @@
 
 namespace ochrespring::gateway {
 
-/// The one of highest rendezvous weight for `key` among those that are accepted, or null.
-const Backend* first_by_weight(const std::vector<const Backend*>& backends, std::string_view key,
-                               const std::function<bool(const Backend&)>& accept);
+/// Returns the back end with the highest rendezvous weight for `key` among those that `accept`
+/// allows, or null.
+const Backend* rendezvous_choice(const std::vector<const Backend*>& backends, std::string_view key,
+                                 const std::function<bool(const Backend&)>& accept);
 
-/// The back ends of one service that do the same: read prompts for others, or run requests.
+/// The back ends of one service that have the same purpose: prefill engines, or back ends that run
+/// requests.
 class BackendGroup {
  public:
-  /// Whether a back end may be chosen.
+  /// Returns whether a back end may be chosen.
   using Accept = std::function<bool(const Backend&)>;
 
   void add(const Backend& backend);
   void remove(const Backend& backend);
   std::size_t size() const { return size_; }
 
-  /// The back end that all nodes rank first for `key` among those they accept, or null. Rendezvous
-  /// hashing in two steps: which part of the group, then which back end of it. A back end that
-  /// comes or goes moves the keys of its part only, and of 10,000 back ends some 220 are looked at.
+  /// The back end that all nodes rank first for `key` among those that `accept` allows, or null.
+  /// Rendezvous hashing in two steps: first the bucket, then the back end in it. Adding or removing
+  /// a back end moves only keys of its bucket, and with 10,000 back ends some 220 weights are
+  /// computed.
   const Backend* home(std::string_view key, const Accept& accept) const;
-  /// Up to `most` different back ends that are accepted, drawn at random.
+  /// Up to `most` distinct accepted back ends, chosen at random. May return fewer than there are.
   std::vector<const Backend*> sample(std::size_t most, RandomSource& random,
                                      const Accept& accept) const;
-  /// All that are accepted.
+  /// All accepted back ends.
   std::vector<const Backend*> all(const Accept& accept) const;
 
  private:
-  /// About the root of the largest groups expected (some 10,000): that makes both steps equally
-  /// short.
-  static constexpr std::size_t kParts = 64;
-  using Part = std::vector<const Backend*>;
+  /// About the square root of the largest expected group (some 10,000), which makes both steps
+  /// equally short.
+  static constexpr std::size_t kBuckets = 64;
+  using Bucket = std::vector<const Backend*>;
 
-  static std::size_t part_of(const BackendId& id);
+  static std::size_t bucket_of(const BackendId& id);
 
-  std::array<Part, kParts> parts_;
+  std::array<Bucket, kBuckets> buckets_;
   std::size_t size_ = 0;
 };
 
-/// Groups by service. Back ends stay where they are as long as they are in the index. One loop.
+/// Back end groups by service. Stores pointers: a back end must stay at its address while it is in
+/// the index. Used from one event loop.
 class BackendIndex {
  public:
   void add(const Backend& backend);
-  /// With the service and role that it was added with.
+  /// `backend` must have the service and role with which it was added.
   void remove(const Backend& backend);
   void clear() { groups_.clear(); }
-  /// Null: there is none.
-  const BackendGroup* find(const ServiceName& service, bool readers) const;
+  /// Returns null if there is no such group.
+  const BackendGroup* find(const ServiceName& service, bool prefill) const;
 
  private:
   static std::pair<ServiceName, bool> group_of(const Backend& backend);
--- a/src/gateway/backend_request.cc
+++ b/src/gateway/backend_request.cc
@@ -5,7 +5,7 @@
 #include <chrono>
 #include <utility>
 
-#include "gateway/backend_life.h"
+#include "gateway/backend_incarnation.h"
 #include "gateway/header_rules.h"
 
 namespace ochrespring::gateway {
@@ -50,7 +50,7 @@
   sent.headers = headers_for_backend(request.headers, names);
   const auto left = std::chrono::duration_cast<milliseconds>(call.left).count();
   set_header(sent.headers, names.deadline, std::to_string(left));
-  set_header(sent.headers, names.expected_instance, std::string(name_of(call.backend->id)));
+  set_header(sent.headers, names.expected_instance, std::string(backend_name(call.backend->id)));
   if (call.tenant != nullptr) {
     set_header(sent.headers, names.tenant, call.tenant->name.value());
   }
--- a/src/gateway/backend_statement.cc
+++ b/src/gateway/backend_statement.cc
@@ -9,9 +9,9 @@
 
 constexpr std::uint16_t kUnavailable = 503;
 constexpr std::uint16_t kMisdirected = 421;
-constexpr std::size_t kMostWholeDigits = 9;
+constexpr std::size_t kMaxWholeDigits = 9;
 constexpr std::size_t kFractionDigits = 9;
-constexpr std::size_t kMostTextLogged = 64;
+constexpr std::size_t kMaxLoggedTextBytes = 64;
 constexpr std::string_view kTrue = "1";
 
 bool are_digits(std::string_view text) {
@@ -19,8 +19,8 @@
          std::all_of(text.begin(), text.end(), [](char c) { return c >= '0' && c <= '9'; });
 }
 
-/// Where several headers can be read, the longest time counts: the back end is asked for nothing
-/// before all of them are over.
+/// Of several valid headers the longest time applies, so that nothing is sent before all of them
+/// have passed.
 BackoffStatement read_backoff(const std::vector<http::Header>& headers, std::string_view name) {
   BackoffStatement backoff;
   for (const http::Header& header : headers) {
@@ -32,7 +32,7 @@
       backoff.span = std::max(backoff.span, *span);
     } else if (backoff.kind == BackoffStatement::Kind::kNone) {
       backoff.kind = BackoffStatement::Kind::kUnreadable;
-      backoff.text = header.value.substr(0, kMostTextLogged);
+      backoff.text = header.value.substr(0, kMaxLoggedTextBytes);
     }
   }
   return backoff;
@@ -55,7 +55,7 @@
   const std::string_view whole = text.substr(0, point);
   const std::string_view fraction = text.substr(std::min(point + 1, text.size()));
   const bool has_point = point != text.size();
-  if (!are_digits(whole) || whole.size() > kMostWholeDigits ||
+  if (!are_digits(whole) || whole.size() > kMaxWholeDigits ||
       (has_point && !are_digits(fraction))) {
     return std::nullopt;
   }
@@ -67,7 +67,8 @@
          std::chrono::nanoseconds(http::parse_number(digits).value_or(0) + (rounds_up ? 1 : 0));
 }
 
-/// A signed answer is the application's word on one request, not the server's on what it is sent.
+/// A signed 503 comes from the application and is about one request; it requests no backoff, unless
+/// it states that the request did not run.
 BackendStatement read_statement(const http::ResponseHead& head, const HeaderNames& names) {
   BackendStatement statement;
   statement.misdirected = head.status == kMisdirected;
--- a/src/gateway/backend_statement.h
+++ b/src/gateway/backend_statement.h
@@ -1,4 +1,4 @@
-// What a back end says of itself, and of the request, in the head of its answer.
+// Parses what the head of a response says about the back end and the request.
 #pragma once
 
 #include <cstdint>
@@ -14,32 +14,33 @@
 
 namespace ochrespring::gateway {
 
-/// Whether a back end asks this node to send it nothing for a while.
+/// A back end's request for a backoff period, in which this node sends it nothing.
 struct BackoffStatement {
   enum class Kind : std::uint8_t {
     kNone,
-    kAsked,       ///< For `span`.
-    kUnreadable,  ///< A time was named, but no telling which: nothing is asked.
+    kAsked,       ///< A backoff of `span` is requested.
+    kUnreadable,  ///< The header is malformed: no backoff applies.
   };
   Kind kind = Kind::kNone;
   Duration span{};
-  std::string text;  ///< What could not be read, cut short.
+  std::string text;  ///< The malformed value, truncated.
 };
 
-/// The whole head of one answer.
+/// Everything that one response head says.
 struct BackendStatement {
   std::optional<ReportedLoad> load;
   RateStatement rate_limit;
   BackoffStatement backoff;
-  bool leaving = false;             ///< The back end ends soon and takes nothing new.
-  bool leaving_unreadable = false;  ///< Something else was said of leaving: it counts for nothing.
-  bool not_run = false;             ///< The request has not run here and will not.
-  bool misdirected = false;         ///< Another back end has the address: all else is of that one.
-  bool is_signed = false;           ///< The back end ran the request, or failed in it.
+  bool leaving = false;             ///< The back end will terminate soon and takes no new requests.
+  bool leaving_unreadable = false;  ///< The header has another value, which is ignored.
+  bool not_run = false;             ///< The request did not run at the back end and will not.
+  bool misdirected = false;  ///< Another back end answers at the address; no other header of the
+                             ///< response is evaluated.
+  bool is_signed = false;    ///< The back end ran the request, with or without success.
 };
 
-/// Reads seconds, a decimal number, rounded up to a whole nanosecond. Anything else, a date too, is
-/// none, and so are more than nine digits before the point: some 30 years.
+/// Parses a decimal number of seconds, rounded up to a whole nanosecond. Returns none for anything
+/// else, including dates, and for more than nine digits before the point (some 30 years).
 std::optional<Duration> parse_seconds(std::string_view text);
 
 BackendStatement read_statement(const http::ResponseHead& head, const HeaderNames& names);
--- a/src/gateway/cache_sources.cc
+++ b/src/gateway/cache_sources.cc
@@ -12,8 +12,8 @@
   MonotonicTime used_at{};
 };
 
-/// What the engine is believed to have ready for others; a part is of use only behind all before
-/// it.
+/// Prefix of the prompt that other engines can fetch from this one. A cached part is usable only if
+/// all parts before it are cached.
 KeptPrefix kept_prefix(const BackendLoad& load, const Prompt& prompt, MonotonicTime now) {
   KeptPrefix kept;
   for (std::size_t i = 0; i + 1 < prompt.parts.size(); ++i) {
--- a/src/gateway/cache_sources.h
+++ b/src/gateway/cache_sources.h
@@ -1,4 +1,5 @@
-// Which engines keep the shared start of a prompt, so that another one can take it from them.
+// Finds the engines that have the shared prefix of a prompt cached, from which another engine can
+// fetch it.
 #pragma once
 
 #include <cstdint>
@@ -12,24 +13,24 @@
 
 namespace ochrespring::gateway {
 
-/// The engines of one service that are believed to keep the most of one prompt's shared parts.
-/// Pure; made for one decision.
+/// The engines of one service that are assumed to have most of one prompt's shared parts cached.
+/// Created for a single placement decision; has no side effects.
 ///
 ///   const CacheSources sources(fleet, loads, ServiceName("llm"), prompt, now);
 ///   if (const Backend* source = sources.best_for(engine)) { /* `engine` may fetch from it */ }
 class CacheSources {
  public:
-  /// Of all engines of the service.
+  /// Considers all engines of the service.
   CacheSources(const FleetState& fleet, const LoadTable& loads, const ServiceName& service,
                const Prompt& prompt, MonotonicTime now);
-  /// Of these engines.
+  /// Considers only `engines`.
   CacheSources(const std::vector<const Backend*>& engines, const LoadTable& loads,
                const Prompt& prompt, MonotonicTime now);
 
-  /// Shared tokens that `best_for(engine)` keeps; 0 without one.
+  /// Shared tokens that `best_for(engine)` has cached; 0 without one.
   std::uint64_t tokens_for(const Backend& engine) const;
-  /// The engine to fetch from: in the zone of `engine` if there is one, else the one that used the
-  /// parts last. Null: no other engine keeps any.
+  /// The engine to fetch from: one in the zone of `engine` is preferred, then the one that used the
+  /// parts last. Null: no other engine has any cached.
   const Backend* best_for(const Backend& engine) const;
 
  private:
@@ -42,7 +43,7 @@
   };
 
   std::uint64_t tokens_ = 0;
-  std::vector<Source> sources_;  ///< All that keep `tokens_`.
+  std::vector<Source> sources_;  ///< All engines that have `tokens_` cached.
 };
 
 }  // namespace ochrespring::gateway
--- a/src/gateway/cache_survey.cc
+++ b/src/gateway/cache_survey.cc
@@ -11,8 +11,8 @@
 
 constexpr Duration kTimeout = std::chrono::milliseconds(800);
 
-/// The node that all nodes take to ask this engine. `nodes` is not empty.
-const NodeId& falls_to(const BackendId& engine, const std::vector<NodeId>& nodes) {
+/// Returns the node that queries this engine, the same on all nodes. `nodes` must not be empty.
+const NodeId& assigned_node(const BackendId& engine, const std::vector<NodeId>& nodes) {
   return *std::max_element(nodes.begin(), nodes.end(),
                            [&](const NodeId& left, const NodeId& right) {
                              return rendezvous_weight(engine.value(), left.value()) <
@@ -33,13 +33,13 @@
   begun_ = true;
   for (const auto& [id, backend] : fleet_.backends()) {
     if (backend.role != EngineRole::kNone && !fleet_.is_leaving(backend) &&
-        falls_to(id, nodes) == self) {
-      ask(backend);
+        assigned_node(id, nodes) == self) {
+      query(backend);
     }
   }
 }
 
-void CacheSurvey::ask(const Backend& engine) {
+void CacheSurvey::query(const Backend& engine) {
   http::ClientRequest request = engines_.list_cached_parts();
   request.endpoint = engine.address;
   request.timeout = kTimeout;
--- a/src/gateway/cache_survey.h
+++ b/src/gateway/cache_survey.h
@@ -1,5 +1,5 @@
-// Asks engines what they keep in their caches when a node starts: it has seen nothing yet, but the
-// engines may have been serving for long.
+// Queries the engines for their cached prompt parts when a node starts, since engines may have been
+// serving long before.
 #pragma once
 
 #include <functional>
@@ -12,9 +12,9 @@
 
 namespace ochrespring::gateway {
 
-/// One loop. Each engine is asked once; one that does not answer is left out. Nodes that start
-/// together share the work: each asks its part of the engines and announces what they keep, since a
-/// list holds up the engine's work.
+/// Queries each engine once and ignores engines that do not answer. Nodes that start together share
+/// the work: each queries its own part of the engines and announces what they have cached, since
+/// listing the cache delays the engine's other work. Used from one event loop.
 class CacheSurvey {
  public:
   using Fetch = std::function<void(const BackendId& engine, http::ClientRequest,
@@ -23,13 +23,13 @@
   CacheSurvey(const Clock& clock, const EngineCalls& engines, const FleetState& fleet,
               LoadTable& loads, Fetch fetch);
 
-  /// Asks those of the engines known now that fall to `self` among all `nodes`, this one included;
-  /// further calls do nothing.
+  /// Queries those of the currently known engines that are assigned to `self` among all `nodes`,
+  /// which include it. Does nothing while no back end is known, nor after the first survey.
   void begin(const NodeId& self, const std::vector<NodeId>& nodes);
   bool begun() const { return begun_; }
 
  private:
-  void ask(const Backend& engine);
+  void query(const Backend& engine);
 
   const Clock& clock_;
   const EngineCalls& engines_;
--- a/src/gateway/caller_key.h
+++ b/src/gateway/caller_key.h
@@ -1,5 +1,5 @@
-// Keys by which callers prove whose requests they send. Only digests of them are kept and compared:
-// neither a dump of memory nor the time of a look-up tells a key.
+// Keys that authenticate callers. Only digests are stored and compared, so that neither a memory
+// dump nor lookup timing reveals a key.
 #pragma once
 
 #include <array>
@@ -11,7 +11,7 @@
 
 namespace ochrespring::gateway {
 
-/// SHA-256 of a key.
+/// SHA-256 digest of a key.
 struct KeyDigest {
   std::array<unsigned char, 32> bytes{};
 
@@ -20,8 +20,8 @@
 
 KeyDigest digest_key(std::string_view key);
 
-/// The key in the value of an `Authorization` header of the scheme `Token` (RFC 9110, section
-/// 11.4); none if the header is absent, empty or of another scheme.
+/// Extracts the key from the value of an `Authorization` header with the scheme `Token` (RFC 9110,
+/// section 11.4). Returns none if the header is absent, empty or has another scheme.
 std::optional<std::string_view> read_caller_key(std::string_view authorization);
 
 }  // namespace ochrespring::gateway
--- a/src/gateway/candidates.cc
+++ b/src/gateway/candidates.cc
@@ -21,60 +21,61 @@
 
 }  // namespace
 
-Candidates CandidateFinder::find(const Query& query, bool readers, MonotonicTime now) const {
-  return walks_all() ? walk(query, readers, now) : sample(query, readers, now);
+Candidates CandidateFinder::find(const Query& query, bool prefill, MonotonicTime now) const {
+  return considers_all() ? full_scan(query, prefill, now) : sample(query, prefill, now);
 }
 
-bool CandidateFinder::left_alone(const Backend& backend, MonotonicTime now) const {
+bool CandidateFinder::is_avoided(const Backend& backend, MonotonicTime now) const {
   const BackendLoad* load = loads_.find(backend.id);
   const bool avoided = load != nullptr && (load->ejected(now) || load->mostly_refuses(now));
-  return avoided || fleet_.is_doubted(backend.id, now);
+  return avoided || fleet_.is_distrusted(backend.id, now);
 }
 
-bool CandidateFinder::may_take(const Backend& backend, const Query& query,
-                               MonotonicTime now) const {
+bool CandidateFinder::is_eligible(const Backend& backend, const Query& query,
+                                  MonotonicTime now) const {
   const BackendLoad* load = loads_.find(backend.id);
   const bool replaced = load != nullptr && load->replaced(now);
   return !replaced && !fleet_.is_leaving(backend) && !query.avoid->contains(backend.id) &&
          (query.gate == nullptr || query.gate->has_room(backend.id, now));
 }
 
-Candidates CandidateFinder::walk(const Query& query, bool readers, MonotonicTime now) const {
+Candidates CandidateFinder::full_scan(const Query& query, bool prefill, MonotonicTime now) const {
   Candidates healthy;
   Candidates others;
   for (const auto& [id, backend] : fleet_.backends()) {
-    const bool reader = backend.role == EngineRole::kPrefill;
-    if (backend.service != query.service || reader != readers || !may_take(backend, query, now)) {
+    const bool is_prefill = backend.role == EngineRole::kPrefill;
+    if (backend.service != query.service || is_prefill != prefill ||
+        !is_eligible(backend, query, now)) {
       continue;
     }
-    (left_alone(backend, now) ? others : healthy).backends.push_back(&backend);
+    (is_avoided(backend, now) ? others : healthy).backends.push_back(&backend);
   }
   Candidates chosen = healthy.backends.empty() ? std::move(others) : std::move(healthy);
   if (!shared_key(query).empty()) {
-    chosen.home = first_by_weight(chosen.backends, shared_key(query),
-                                  [](const Backend& /*any*/) { return true; });
+    chosen.home = rendezvous_choice(chosen.backends, shared_key(query),
+                                    [](const Backend& /*any*/) { return true; });
   }
   return chosen;
 }
 
-Candidates CandidateFinder::sample(const Query& query, bool readers, MonotonicTime now) const {
+Candidates CandidateFinder::sample(const Query& query, bool prefill, MonotonicTime now) const {
   Candidates chosen;
-  const BackendGroup* group = fleet_.index().find(query.service, readers);
+  const BackendGroup* group = fleet_.index().find(query.service, prefill);
   if (group == nullptr) {
     return chosen;
   }
-  const auto allowed = [&](const Backend& backend) { return may_take(backend, query, now); };
+  const auto allowed = [&](const Backend& backend) { return is_eligible(backend, query, now); };
   const auto healthy = [&](const Backend& backend) {
-    return allowed(backend) && !left_alone(backend, now);
+    return allowed(backend) && !is_avoided(backend, now);
   };
-  if (query.prompt == nullptr && group->size() <= kWalkAll) {
+  if (query.prompt == nullptr && group->size() <= kFullScanLimit) {
     chosen.backends = group->all(healthy);
   } else {
-    chosen.backends = group->sample(kSample, random_, healthy);
+    chosen.backends = group->sample(kSampleSize, random_, healthy);
   }
   for (const Backend* holder : query.holders) {
-    const bool reader = holder->role == EngineRole::kPrefill;
-    if (reader == readers && holder->service == query.service && healthy(*holder)) {
+    const bool is_prefill = holder->role == EngineRole::kPrefill;
+    if (is_prefill == prefill && holder->service == query.service && healthy(*holder)) {
       add_once(chosen.backends, holder);
     }
   }
@@ -85,7 +86,7 @@
     add_once(chosen.backends, chosen.home);
   }
   if (chosen.backends.empty()) {
-    // Few are well, if any: a sample may have missed them.
+    // The sample may have missed the few healthy back ends.
     chosen.backends = group->all(healthy);
   }
   if (chosen.backends.empty()) {
@@ -94,14 +95,15 @@
   return chosen;
 }
 
-/// An engine that keeps a part mostly keeps those before it, which may be common to thousands.
+/// Starts at the last shared part: an engine that has it cached usually has those before it too,
+/// while the first parts may be common to thousands of engines.
 std::vector<const Backend*> CandidateFinder::holders(const Prompt& prompt,
                                                      MonotonicTime now) const {
   std::vector<const Backend*> engines;
   const std::vector<PromptPart>& parts = prompt.parts;
   for (std::size_t shared = parts.size(); shared > 1 && engines.empty(); --shared) {
     const std::uint64_t key = parts[shared - 2].key;
-    for (const BackendId& id : loads_.holders(key, kMostHolders, now, random_)) {
+    for (const BackendId& id : loads_.holders(key, kMaxHolders, now, random_)) {
       const Backend* engine = fleet_.find(id);
       if (engine != nullptr && engine->role != EngineRole::kNone) {
         engines.push_back(engine);
--- a/src/gateway/candidates.h
+++ b/src/gateway/candidates.h
@@ -1,4 +1,4 @@
-// Which back ends are worth an estimate for one request.
+// Selects the back ends for which the cost of a request is estimated.
 #pragma once
 
 #include <set>
@@ -14,53 +14,54 @@
 
 namespace ochrespring::gateway {
 
-/// Back ends that may take a request.
+/// Back ends that may receive a request.
 struct Candidates {
   std::vector<const Backend*> backends;
-  /// The one that all nodes rank first for the prompt's shared part; null: there is none.
+  /// The back end that all nodes rank first for the prompt's shared part; null: there is none.
   const Backend* home = nullptr;
 };
 
-/// Gathers candidates. Of a small fleet all are candidates. Of a large one those that are believed
-/// to keep the prompt, its home, and some by chance: among thousands of engines that are mostly
-/// idle the first ones decide, and the best of a few drawn is as good as the best of all wherever
-/// they do not. Back ends that are left alone for now are taken only if there is no other. Pure.
+/// Finds candidates. In a small fleet all back ends are candidates. In a large one they are those
+/// assumed to have the prompt cached, its home, and a random sample: among thousands of mostly idle
+/// engines the cache and the home decide, and elsewhere the best of a small sample is as good as
+/// the best of all. Ejected and other avoided back ends are used only if there is no alternative.
+/// Has no side effects.
 class CandidateFinder {
  public:
   struct Query {
     ServiceName service;
     const Prompt* prompt = nullptr;  ///< Null: an ordinary request.
     const std::set<BackendId>* avoid = nullptr;
-    /// Of the prompt, where not all back ends are looked at; see holders().
+    /// Engines that have parts of the prompt cached, unless considers_all(); see holders().
     std::vector<const Backend*> holders{};
-    const SendGate* gate = nullptr;  ///< Null: all back ends have room.
+    const SendGate* gate = nullptr;  ///< Null: all back ends accept requests.
   };
 
   CandidateFinder(const FleetState& fleet, const LoadTable& loads, RandomSource& random)
       : fleet_(fleet), loads_(loads), random_(random) {}
 
-  Candidates find(const Query& query, bool readers, MonotonicTime now) const;
-  /// Engines of either role that are believed to keep shared parts of the prompt.
+  Candidates find(const Query& query, bool prefill, MonotonicTime now) const;
+  /// Engines of either role that are assumed to have shared parts of the prompt cached.
   std::vector<const Backend*> holders(const Prompt& prompt, MonotonicTime now) const;
-  /// Whether all back ends are looked at.
-  bool walks_all() const { return fleet_.backends().size() <= kWalkAll; }
+  /// Whether all back ends of the fleet are considered, instead of a sample.
+  bool considers_all() const { return fleet_.backends().size() <= kFullScanLimit; }
 
  private:
-  /// Up to so many back ends of all services are looked at one by one: some 0.2 ms on a quarter of
-  /// a core.
-  static constexpr std::size_t kWalkAll = 512;
-  /// Drawn by chance. With a third of all engines busy, one in 3^16 samples has no idle one; of the
-  /// five zones of a large fleet it holds three from each on average.
-  static constexpr std::size_t kSample = 16;
-  /// Of those that keep a part; one or two do, as a rule.
-  static constexpr std::size_t kMostHolders = 16;
+  /// Largest fleet that is scanned in full; a scan of it takes some 0.2 ms on a quarter of a core.
+  static constexpr std::size_t kFullScanLimit = 512;
+  /// Size of the random sample. With a third of all engines busy, one in 3^16 samples has no idle
+  /// one; with five zones it holds three engines of each on average.
+  static constexpr std::size_t kSampleSize = 16;
+  /// Limit on engines that have a part cached; usually there are one or two.
+  static constexpr std::size_t kMaxHolders = 16;
 
-  Candidates walk(const Query& query, bool readers, MonotonicTime now) const;
-  Candidates sample(const Query& query, bool readers, MonotonicTime now) const;
-  /// Ejected, or doubted: taken only if there is no other.
-  bool left_alone(const Backend& backend, MonotonicTime now) const;
-  /// Whether the request may be sent there at all.
-  bool may_take(const Backend& backend, const Query& query, MonotonicTime now) const;
+  Candidates full_scan(const Query& query, bool prefill, MonotonicTime now) const;
+  Candidates sample(const Query& query, bool prefill, MonotonicTime now) const;
+  /// Whether the back end is ejected, refuses most requests, or is distrusted: used only if there
+  /// is no alternative.
+  bool is_avoided(const Backend& backend, MonotonicTime now) const;
+  /// Whether the request may be sent to the back end at all.
+  bool is_eligible(const Backend& backend, const Query& query, MonotonicTime now) const;
 
   const FleetState& fleet_;
   const LoadTable& loads_;
--- a/src/gateway/claimed_send.h
+++ b/src/gateway/claimed_send.h
@@ -18,7 +18,7 @@
 
   static ClaimedSend of(const PlacementChoice& choice, SendKind kind) {
     return {.backend = choice.backend->id,
-            .unread_tokens = choice.unread_tokens,
+            .unread_tokens = choice.prefill_tokens,
             .cache_source = choice.cache_source != nullptr ? choice.cache_source->id : BackendId(),
             .kind = kind};
   }
--- a/src/gateway/engine_calls.h
+++ b/src/gateway/engine_calls.h
@@ -1,4 +1,4 @@
-// Calls to model engines besides requests themselves, in the form an engine expects.
+// Auxiliary calls to model engines, in the engines' protocol.
 #pragma once
 
 #include <optional>
@@ -10,17 +10,18 @@
 
 namespace ochrespring::gateway {
 
-/// Pure; implemented by whoever knows the engines' protocol.
+/// Builds and parses auxiliary calls to engines. Implementations have no side effects.
 class EngineCalls {
  public:
   virtual ~EngineCalls() = default;
-  /// Handle of the cache that an engine made by reading a prompt, or none.
+  /// Parses the handle of the KV cache that a prefill has created; none if there is none.
   virtual std::optional<std::string> read_cache_handle(std::string_view body) const = 0;
-  /// The call that frees a cache handle nobody will take; without an address.
+  /// Returns the call that releases an unused cache handle; the caller sets the address.
   virtual http::ClientRequest release_cache(const std::string& handle) const = 0;
-  /// The call that tells which prompt parts an engine keeps; without an address.
+  /// Returns the call that lists the prompt parts in an engine's cache; the caller sets the
+  /// address.
   virtual http::ClientRequest list_cached_parts() const = 0;
-  /// Ids of the parts in the answer to that call; none if it cannot be understood.
+  /// Parses the part ids from the response to list_cached_parts(); empty if it is malformed.
   virtual std::vector<std::string> read_cached_parts(std::string_view body) const = 0;
 };
 
--- a/src/gateway/engine_profiles.h
+++ b/src/gateway/engine_profiles.h
@@ -1,4 +1,4 @@
-// What is known of how fast engines work and what they hold, for predictions.
+// Measured speed and load of engines, for predictions.
 #pragma once
 
 #include <cstdint>
@@ -9,29 +9,30 @@
 
 namespace ochrespring::gateway {
 
-/// One life of an engine. Times are those of undisturbed work: its own pace figure
-/// (ReportedLoad::pace_percent) multiplies them.
+/// Profile of one incarnation of an engine. Times are for undisturbed work and have to be
+/// multiplied by the reported pace (ReportedLoad::pace_percent).
 struct EngineProfile {
-  /// Between two output tokens of a stream while no prompt is read beside it.
+  /// Between two output tokens of a stream while the engine prefills no prompt.
   Duration output_token{};
-  /// For each prompt token that an engine reads while it does nothing else; zero: not known.
+  /// Prefill time per prompt token while the engine does nothing else; zero: unknown.
   Duration prompt_token{};
-  /// Streams of all nodes at the engine that still have many events to come.
+  /// Streams of all nodes at the engine that have many remaining events.
   std::uint32_t long_streams = 0;
 };
 
-/// Answers from memory; one loop.
+/// Provides engine profiles. Calls do no I/O; used from one event loop.
 class EngineProfiles {
  public:
   virtual ~EngineProfiles() = default;
-  /// An engine that nothing is known of has the median of its service; none: nothing is known of
-  /// any.
+  /// Returns the profile of an engine, or the median of its service if the engine has no
+  /// measurements; none: no engine of the service has any.
   virtual std::optional<EngineProfile> find(const Backend& engine, MonotonicTime now) const = 0;
-  /// The median of the service's engines; none: nothing is known of any. Without streams.
+  /// Returns the median profile of the service's engines, without streams; none: no engine has
+  /// measurements.
   virtual std::optional<EngineProfile> usual(const ServiceName& service,
                                              MonotonicTime now) const = 0;
-  /// Share of recent time, 0 to 1, in which engines of the service took longer than `factor` times
-  /// as long as usual.
+  /// Share of recent time, 0 to 1, in which work at engines of the service took more than `factor`
+  /// times its normal duration.
   virtual double share_slower_than(const ServiceName& service, double factor,
                                    MonotonicTime now) const = 0;
 };
--- a/src/gateway/fleet_state.cc
+++ b/src/gateway/fleet_state.cc
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-#include "gateway/backend_life.h"
+#include "gateway/backend_incarnation.h"
 
 namespace ochrespring::gateway {
 
@@ -24,7 +24,7 @@
     return false;
   }
   if (fresh) {
-    gone_.erase(backend.id);
+    removed_ids_.erase(backend.id);
   } else {
     index_.remove(known);
   }
@@ -51,24 +51,24 @@
     return false;
   }
   index_.remove(node.mapped());
-  note_gone(node.mapped());
+  note_removed(node.mapped());
   return true;
 }
 
-/// More than that many are forgotten, all at once: doubt is no promise.
-void FleetState::note_gone(const Backend& backend) {
-  if (gone_.size() >= kMostLeaving) {
-    gone_.clear();
+/// At the limit the whole set is cleared: distrust is best effort.
+void FleetState::note_removed(const Backend& backend) {
+  if (removed_ids_.size() >= kMaxRememberedIds) {
+    removed_ids_.clear();
   }
-  gone_.insert(backend.id);
+  removed_ids_.insert(backend.id);
   if (removed_) {
     removed_(backend);
   }
 }
 
-void FleetState::doubt_gone(MonotonicTime until) {
-  doubted_ = std::exchange(gone_, {});
-  doubted_until_ = until;
+void FleetState::distrust_removed(MonotonicTime until) {
+  distrusted_ = std::exchange(removed_ids_, {});
+  distrusted_until_ = until;
 }
 
 void FleetState::replace(std::vector<Backend> listed) {
@@ -80,7 +80,7 @@
   backends_.swap(fresh);
   index_.clear();
   for (const auto& [id, backend] : backends_) {
-    gone_.erase(id);
+    removed_ids_.erase(id);
     if (backend.draining) {
       note_leaving(id);
     }
@@ -91,7 +91,7 @@
   }
   for (const auto& [id, backend] : fresh) {
     if (!backends_.contains(id)) {
-      note_gone(backend);
+      note_removed(backend);
     }
   }
 }
@@ -102,21 +102,21 @@
 }
 
 void FleetState::note_leaving(const BackendId& id) {
-  if (!leaving_.insert(id).second || leaving_.size() <= kMostLeaving) {
+  if (!leaving_.insert(id).second || leaving_.size() <= kMaxRememberedIds) {
     return;
   }
   std::erase_if(leaving_, [this](const BackendId& old) { return !backends_.contains(old); });
 }
 
-std::vector<BackendId> FleetState::lives_of(std::string_view name) const {
+std::vector<BackendId> FleetState::incarnations_of(std::string_view name) const {
   std::vector<BackendId> lives;
   const BackendId plain{std::string(name)};
-  if (backends_.contains(plain) && name_of(plain) == name) {
+  if (backends_.contains(plain) && backend_name(plain) == name) {
     lives.push_back(plain);
   }
   for (auto found = backends_.lower_bound(BackendId(plain.value() + '@'));
        found != backends_.end() && found->first.value().starts_with(plain.value() + '@'); ++found) {
-    if (name_of(found->first) == name) {
+    if (backend_name(found->first) == name) {
       lives.push_back(found->first);
     }
   }
--- a/src/gateway/header_names.h
+++ b/src/gateway/header_names.h
@@ -1,5 +1,5 @@
-// Names of the headers by which callers, the gateway and back ends tell each other what HTTP itself
-// does not. A site with names of its own passes them in; all names are lower case.
+// Names of the headers that callers, the gateway and back ends exchange in addition to those of
+// HTTP. A deployment may use other names; all names are in lower case.
 #pragma once
 
 #include <string>
@@ -9,32 +9,36 @@
 
 struct HeaderNames {
   std::string request_id = "x-request-id";
-  std::string deadline = "x-deadline-ms";  ///< Milliseconds the caller will wait.
+  std::string deadline = "x-deadline-ms";  ///< Milliseconds that the caller waits.
   std::string not_run = "x-ochrespring-not-run";
-  std::string signature = "x-ochrespring-signature";  ///< On every answer that a back end ran for.
+  /// In every response to a request that a back end ran.
+  std::string signature = "x-ochrespring-signature";
   std::string expected_instance = "x-ochrespring-expected-instance";
-  std::string load = "x-ochrespring-load";  ///< Running, waiting and slots, joined by commas.
-  /// Requests a second that a back end in need takes from all nodes together, a decimal number.
+  /// Running requests, waiting requests, and slots, separated by commas.
+  std::string load = "x-ochrespring-load";
+  /// Requests per second that an overloaded back end accepts from all nodes together, a decimal
+  /// number.
   std::string rate_limit = "x-ochrespring-rate-limit";
-  /// Seconds, in a 503: the back end wants nothing from this node for so long.
+  /// In a 503 response: seconds for which the back end wants no requests from this node.
   std::string retry_after = "retry-after";
-  std::string leaving = "x-ochrespring-leaving";            ///< `1`: the back end ends soon.
-  std::string prompt_parts = "x-ochrespring-prompt-parts";  ///< ID:TOKENS, joined by commas.
-  std::string token_counts = "x-ochrespring-token-counts";  ///< Prompt and most output.
-  /// The caller's estimate of the output in tokens, right at the median and often far off.
+  std::string leaving = "x-ochrespring-leaving";  ///< `1`: the back end will terminate soon.
+  std::string prompt_parts = "x-ochrespring-prompt-parts";  ///< ID:TOKENS, separated by commas.
+  /// Tokens of the prompt and maximum output tokens.
+  std::string token_counts = "x-ochrespring-token-counts";
+  /// The caller's estimate of the output tokens; accurate at the median, often far off.
   std::string output_estimate = "x-ochrespring-output-estimate";
-  std::string priority = "x-ochrespring-priority";  ///< 0 to 9, 0 first.
+  std::string priority = "x-ochrespring-priority";  ///< 0 to 9; 0 is the most urgent.
   std::string phase = "x-ochrespring-phase";
-  std::string phase_prefill = "prefill";  ///< Value of `phase`: read the prompt, do not run.
+  std::string phase_prefill = "prefill";                    ///< Value of `phase`: prefill only.
   std::string cache_source = "x-ochrespring-cache-source";  ///< IP:PORT/HANDLE.
-  /// IP:PORT of an engine to take cached parts from before reading.
+  /// IP:PORT of an engine from which to fetch cached parts before the prefill.
   std::string cache_fetch = "x-ochrespring-cache-fetch";
-  /// IP:PORT of an engine that a run's memory is copied to as it grows.
+  /// IP:PORT of an engine to which the KV cache of a stream is replicated as it grows.
   std::string cache_backup = "x-ochrespring-cache-backup";
   std::string last_event = "last-event-id";
   std::string credentials = "authorization";
-  std::string tenant = "x-ochrespring-tenant";  ///< Whose request a back end runs.
-  /// Headers that only the gateway may set; a caller's are dropped.
+  std::string tenant = "x-ochrespring-tenant";  ///< Tenant whose request the back end runs.
+  /// Headers that only the gateway may set; they are removed from callers' requests.
   std::vector<std::string> reserved;
 };
 
--- a/src/gateway/header_rules.cc
+++ b/src/gateway/header_rules.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Headers of one connection (RFC 9110, section 7.6.1) and of HTTP/1.1 framing.
+/// Connection headers (RFC 9110, section 7.6.1) and headers of HTTP/1.1 framing.
 constexpr std::array<std::string_view, 10> kConnectionHeaders{"connection",
                                                               "keep-alive",
                                                               "proxy-connection",
@@ -26,7 +26,7 @@
          kConnectionHeaders.end();
 }
 
-/// Whether `list` names `name` as one of its comma-separated tokens, in any case.
+/// Whether the comma-separated `list` contains `name`, ignoring case.
 bool lists(std::string_view list, std::string_view name) {
   const auto same = [](unsigned char left, unsigned char right) {
     return std::tolower(left) == std::tolower(right);
--- a/src/gateway/header_rules.h
+++ b/src/gateway/header_rules.h
@@ -1,4 +1,4 @@
-// Which headers pass between callers and back ends.
+// Filters the headers that pass between callers and back ends.
 #pragma once
 
 #include <string_view>
@@ -9,12 +9,12 @@
 
 namespace ochrespring::gateway {
 
-/// A caller's headers as a back end gets them: without those of the connection, those that HTTP
-/// framing makes anew, and those that only the gateway sets.
+/// Returns a caller's headers as they are sent to a back end: without connection headers, headers
+/// that HTTP framing adds again, and headers that only the gateway may set.
 std::vector<http::Header> headers_for_backend(const std::vector<http::Header>& headers,
                                               const HeaderNames& names);
 
-/// A back end's headers as the caller gets them.
+/// Returns a back end's headers as they are sent to the caller: without connection headers.
 std::vector<http::Header> headers_for_caller(const std::vector<http::Header>& headers);
 
 }  // namespace ochrespring::gateway
--- a/src/gateway/load_table.cc
+++ b/src/gateway/load_table.cc
@@ -12,41 +12,43 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Time in which a report of load loses half of its weight.
+/// Half-life of the weight of a load report.
 constexpr Duration kReportHalfLife = milliseconds(300);
-constexpr std::uint32_t kUsualPacePercent = 100;
-/// A report that names more, or nothing, is believed no further.
-constexpr double kMostSlowness = 10;
-constexpr double kLeastSlowness = 0.1;
-/// Time in which the memory of failures halves.
+constexpr std::uint32_t kNormalPacePercent = 100;
+/// Bounds for the reported pace, against implausible values.
+constexpr double kMaxSlowness = 10;
+constexpr double kMinSlowness = 0.1;
+/// Half-life of the counts of failures, attempts and refusals.
 constexpr Duration kFailureHalfLife = seconds(3);
-/// Attempts believed good before anything is known, so that one failure condemns nobody.
+/// Virtual successful attempts added to the counts, so that a single failure does not exclude a
+/// back end.
 constexpr double kPriorAttempts = 2;
-/// Attempts that are remembered at most.
-constexpr double kMostAttempts = 12;
+/// Upper bound of the attempt count; bounds the time until a recovery shows.
+constexpr double kMaxAttempts = 12;
 constexpr Duration kFirstEjection = milliseconds(1000);
-constexpr std::uint32_t kMostDoublings = 2;
-/// The store names a back end that has ended for some heartbeats more.
-constexpr Duration kUntilForgotten = seconds(6);
-/// An answer this recent speaks against what another node tells.
+constexpr std::uint32_t kMaxDoublings = 2;
+/// The store lists a terminated back end for some heartbeat intervals more.
+constexpr Duration kReplacedEjection = seconds(6);
+/// A response this recent overrides another node's report that the back end is unresponsive.
 constexpr Duration kRecentAnswer = milliseconds(500);
-/// How long a prompt part is believed to stay cached after its last use.
-constexpr Duration kCacheBelief = seconds(11);
-/// An engine gives up what it has not used for longest, and only when its memory is full: a part is
-/// believed kept, however old, while no more than this many others have been read there. The
-/// smallest memory in use holds 305,000 tokens, 18 prompts of 17,000; a prompt has one to two
-/// shared parts. At 9,695 engines for 316 prompts a second a quarter of the parts came again after
-/// more than `kCacheBelief` and were read anew elsewhere, though the engine had read one prompt
-/// since.
-constexpr std::uint64_t kPartsBesides = 10;
-/// But no longer than this: an engine may drop parts for reasons of its own.
-constexpr Duration kIdleCacheBelief = seconds(120);
-/// How long it is believed to be there for others to fetch: a fetch in vain costs little.
-constexpr Duration kFetchBelief = seconds(8);
-/// Within this time after a part was first sent, the back end may still be reading it.
-constexpr Duration kReadingTime = milliseconds(1500);
-
-double halved(Duration age, Duration half_life) {
+/// Time after its last use for which a prompt part is assumed to stay cached.
+constexpr Duration kAssumedCacheTime = seconds(11);
+/// Engines evict the least recently used parts, and only when their memory is full: a part is
+/// assumed to be cached, however old, while at most this many other parts have been prefilled
+/// there. The smallest memory in use holds 305,000 tokens, that is 18 prompts of 17,000; a prompt
+/// has one to two shared parts. By age alone, with 9,695 engines and 316 prompts per second, a
+/// quarter of the parts recurred after more than `kAssumedCacheTime` and were prefilled again
+/// elsewhere, though the engine had prefilled only one prompt since.
+constexpr std::uint64_t kMaxNewerParts = 10;
+/// Limit on that assumption: an engine may evict parts for other reasons.
+constexpr Duration kMaxAssumedCacheTime = seconds(120);
+/// Time after its last use for which a part is assumed to be fetchable by other engines; a failed
+/// fetch costs little.
+constexpr Duration kAssumedFetchableTime = seconds(8);
+/// Time after a part was first sent within which its prefill may still be running.
+constexpr Duration kMaxPrefillTime = milliseconds(1500);
+
+double decay_factor(Duration age, Duration half_life) {
   return std::exp2(-to_seconds(age) / to_seconds(half_life));
 }
 
@@ -70,55 +72,55 @@
     return std::nullopt;
   }
   if (!text.empty() && !read_count(text, load.pace_percent)) {
-    load.pace_percent = kUsualPacePercent;
+    load.pace_percent = kNormalPacePercent;
   }
   return load;
 }
 
-void BackendLoad::begin(std::uint64_t unread_tokens) {
+void BackendLoad::begin(std::uint64_t prefill_tokens) {
   ++in_flight_;
-  unread_tokens_ += unread_tokens;
+  pending_prefill_tokens_ += prefill_tokens;
 }
 
-void BackendLoad::note_read(std::uint64_t unread_tokens) {
-  unread_tokens_ -= std::min(unread_tokens, unread_tokens_);
+void BackendLoad::note_prefilled(std::uint64_t prefill_tokens) {
+  pending_prefill_tokens_ -= std::min(prefill_tokens, pending_prefill_tokens_);
 }
 
-void BackendLoad::end(AttemptVerdict verdict, MonotonicTime now) {
+void BackendLoad::end(AttemptOutcome outcome, MonotonicTime now) {
   in_flight_ -= std::min<std::uint32_t>(in_flight_, 1);
-  fade(now);
-  switch (verdict) {
-    case AttemptVerdict::kGood:
-      count_ends(1, 0);
+  decay(now);
+  switch (outcome) {
+    case AttemptOutcome::kSucceeded:
+      count_outcomes(1, 0);
       answered_at_ = now;
       unreachable_in_row_ = 0;
       break;
-    case AttemptVerdict::kFailed:
-      count_ends(1, 1);
+    case AttemptOutcome::kFailed:
+      count_outcomes(1, 1);
       break;
-    case AttemptVerdict::kUnreachable:
-      count_ends(1, 1);
-      note_silence(now);
+    case AttemptOutcome::kUnreachable:
+      count_outcomes(1, 1);
+      note_unresponsive(now);
       break;
-    case AttemptVerdict::kReplaced:
-      ejected_until_ = now + kUntilForgotten;
+    case AttemptOutcome::kReplaced:
+      ejected_until_ = now + kReplacedEjection;
       replaced_until_ = ejected_until_;
       break;
-    case AttemptVerdict::kRefused:
-      refusals_ = std::min(refusals_ + 1, kMostAttempts);
+    case AttemptOutcome::kRefused:
+      refusals_ = std::min(refusals_ + 1, kMaxAttempts);
       break;
-    case AttemptVerdict::kNotSent:
-    case AttemptVerdict::kAbandoned:
+    case AttemptOutcome::kNotSent:
+    case AttemptOutcome::kAbandoned:
       break;
   }
 }
 
-void BackendLoad::note_silence(MonotonicTime now) {
-  ejected_until_ = now + kFirstEjection * (1U << std::min(unreachable_in_row_, kMostDoublings));
+void BackendLoad::note_unresponsive(MonotonicTime now) {
+  ejected_until_ = now + kFirstEjection * (1U << std::min(unreachable_in_row_, kMaxDoublings));
   ++unreachable_in_row_;
 }
 
-void BackendLoad::note_told_silence(MonotonicTime now) {
+void BackendLoad::note_peer_unresponsive(MonotonicTime now) {
   if (!answered_at_ || now - *answered_at_ > kRecentAnswer) {
     ejected_until_ = std::max(ejected_until_, now + kFirstEjection);
   }
@@ -136,91 +138,94 @@
     return 0;
   }
   const double all = reported_.running + reported_.waiting;
-  return std::max(0.0, all - own_at_report_) * halved(now - *reported_at_, kReportHalfLife);
+  return std::max(0.0, all - own_at_report_) * decay_factor(now - *reported_at_, kReportHalfLife);
 }
 
 double BackendLoad::reported_waiting(MonotonicTime now) const {
-  return reported_at_ ? reported_.waiting * halved(now - *reported_at_, kReportHalfLife) : 0.0;
+  return reported_at_ ? reported_.waiting * decay_factor(now - *reported_at_, kReportHalfLife)
+                      : 0.0;
 }
 
 ReportedPace BackendLoad::pace(MonotonicTime now) const {
   if (!reported_at_) {
     return {};
   }
-  return {.factor = std::clamp(static_cast<double>(reported_.pace_percent) / kUsualPacePercent,
-                               kLeastSlowness, kMostSlowness),
-          .weight = halved(now - *reported_at_, kReportHalfLife)};
+  return {.factor = std::clamp(static_cast<double>(reported_.pace_percent) / kNormalPacePercent,
+                               kMinSlowness, kMaxSlowness),
+          .weight = decay_factor(now - *reported_at_, kReportHalfLife)};
 }
 
 double BackendLoad::slowness(MonotonicTime now) const {
-  const ReportedPace told = pace(now);
-  return 1 + (told.factor - 1) * told.weight;
+  const ReportedPace reported = pace(now);
+  return 1 + (reported.factor - 1) * reported.weight;
 }
 
 double BackendLoad::failure_share(MonotonicTime now) const {
-  const double weight = halved(now - faded_at_, kFailureHalfLife);
+  const double weight = decay_factor(now - decayed_at_, kFailureHalfLife);
   return failures_ * weight / (attempts_ * weight + kPriorAttempts);
 }
 
 double BackendLoad::own_refusal_share(MonotonicTime now) const {
-  const double weight = halved(now - faded_at_, kFailureHalfLife);
+  const double weight = decay_factor(now - decayed_at_, kFailureHalfLife);
   return refusals_ * weight / ((attempts_ + refusals_) * weight + kPriorAttempts);
 }
 
 double BackendLoad::refusal_share(MonotonicTime now) const {
-  const double told = now < told_pause_until_ ? kToldPauseShare : 0;
-  return std::max(told, own_refusal_share(now));
+  const double peer_share = now < peer_backoff_until_ ? kPeerBackoffRefusalShare : 0;
+  return std::max(peer_share, own_refusal_share(now));
 }
 
-void BackendLoad::note_told_ends(std::uint32_t ended, std::uint32_t failed, MonotonicTime now) {
-  fade(now);
-  count_ends(ended, std::min(ended, failed));
+void BackendLoad::note_peer_outcomes(std::uint32_t ended, std::uint32_t failed, MonotonicTime now) {
+  decay(now);
+  count_outcomes(ended, std::min(ended, failed));
 }
 
-/// The newest attempts count: a back end that has recovered is found out in some seconds.
-void BackendLoad::count_ends(double ended, double failed) {
+/// Caps the counts in favor of recent attempts, so that a recovery shows within seconds.
+void BackendLoad::count_outcomes(double ended, double failed) {
   attempts_ += ended;
   failures_ += failed;
-  if (attempts_ > kMostAttempts) {
-    failures_ *= kMostAttempts / attempts_;
-    attempts_ = kMostAttempts;
+  if (attempts_ > kMaxAttempts) {
+    failures_ *= kMaxAttempts / attempts_;
+    attempts_ = kMaxAttempts;
   }
 }
 
-void BackendLoad::fade(MonotonicTime now) {
-  const double weight = halved(now - faded_at_, kFailureHalfLife);
+void BackendLoad::decay(MonotonicTime now) {
+  const double weight = decay_factor(now - decayed_at_, kFailureHalfLife);
   failures_ *= weight;
   attempts_ *= weight;
   refusals_ *= weight;
-  faded_at_ = now;
+  decayed_at_ = now;
 }
 
 bool BackendLoad::note_cached(std::uint64_t part_key, MonotonicTime now) {
   ++parts_noted_;
   const auto [entry, fresh] = cached_.try_emplace(part_key, CachedPart{now, now, parts_noted_});
   CachedPart& part = entry->second;
-  if (!believed(part, kFetchBelief, now)) {
+  if (!is_probably_cached(part, kAssumedFetchableTime, now)) {
     part.first_used = now;
   }
   part.last_used = now;
   part.used_at_note = parts_noted_;
   if (cached_.size() >= prune_cached_at_) {
-    std::erase_if(cached_,
-                  [&](const auto& cached) { return !believed(cached.second, kFetchBelief, now); });
-    prune_cached_at_ = std::max(kLeastPrune, 2 * cached_.size());
+    std::erase_if(cached_, [&](const auto& cached) {
+      return !is_probably_cached(cached.second, kAssumedFetchableTime, now);
+    });
+    prune_cached_at_ = std::max(kMinPruneSize, 2 * cached_.size());
   }
   return fresh;
 }
 
-bool BackendLoad::believed(const CachedPart& part, Duration belief, MonotonicTime now) const {
+bool BackendLoad::is_probably_cached(const CachedPart& part, Duration cache_time,
+                                     MonotonicTime now) const {
   const Duration age = now - part.last_used;
-  const bool little_since = parts_noted_ - part.used_at_note <= kPartsBesides;
-  return age < belief || (little_since && age < kIdleCacheBelief);
+  const bool few_newer_parts = parts_noted_ - part.used_at_note <= kMaxNewerParts;
+  return age < cache_time || (few_newer_parts && age < kMaxAssumedCacheTime);
 }
 
 bool BackendLoad::holds(std::uint64_t part_key, MonotonicTime now) const {
   const auto found = cached_.find(part_key);
-  return found != cached_.end() && believed(found->second, kCacheBelief, now);
+  return found != cached_.end() && is_probably_cached(found->second, kAssumedCacheTime, now);
 }
 
 void BackendLoad::forget_cached(std::uint64_t part_key, MonotonicTime first_used) {
@@ -230,10 +235,10 @@
   }
 }
 
-std::vector<std::uint64_t> BackendLoad::held_parts(MonotonicTime now) const {
+std::vector<std::uint64_t> BackendLoad::cached_part_keys(MonotonicTime now) const {
   std::vector<std::uint64_t> keys;
   for (const auto& [key, part] : cached_) {
-    if (believed(part, kCacheBelief, now)) {
+    if (is_probably_cached(part, kAssumedCacheTime, now)) {
       keys.push_back(key);
     }
   }
@@ -243,14 +248,14 @@
 std::optional<MonotonicTime> BackendLoad::ready_part(std::uint64_t part_key,
                                                      MonotonicTime now) const {
   const auto found = cached_.find(part_key);
-  if (found == cached_.end() || !believed(found->second, kFetchBelief, now) ||
-      now - found->second.first_used < kReadingTime) {
+  if (found == cached_.end() || !is_probably_cached(found->second, kAssumedFetchableTime, now) ||
+      now - found->second.first_used < kMaxPrefillTime) {
     return std::nullopt;
   }
   return found->second.last_used;
 }
 
-/// The last part is the request's own: nobody else will ask for it.
+/// Skips the last part, which belongs to this request alone.
 void LoadTable::note_prompt(const BackendId& id, const Prompt& prompt, MonotonicTime now) {
   std::vector<std::uint64_t> keys;
   for (std::size_t i = 0; i + 1 < prompt.parts.size(); ++i) {
@@ -274,8 +279,8 @@
   for (const std::uint64_t key : keys) {
     note_cached(id, key, now);
   }
-  if (prompt_read_) {
-    prompt_read_(id, keys);
+  if (parts_cached_callback_) {
+    parts_cached_callback_(id, keys);
   }
 }
 
@@ -285,7 +290,7 @@
   }
 }
 
-/// What engines have forgotten, and engines that have gone, leave the index when it has doubled.
+/// Rebuilds the index when its size has doubled, which drops evicted parts and removed engines.
 void LoadTable::index_part(const BackendId& id, std::uint64_t part_key, MonotonicTime now) {
   holders_[part_key].push_back(id);
   if (++holder_entries_ < prune_holders_at_) {
@@ -294,12 +299,12 @@
   holders_.clear();
   holder_entries_ = 0;
   for (const auto& [holder, load] : loads_) {
-    for (const std::uint64_t key : load.held_parts(now)) {
+    for (const std::uint64_t key : load.cached_part_keys(now)) {
       holders_[key].push_back(holder);
       ++holder_entries_;
     }
   }
-  prune_holders_at_ = std::max(kLeastIndexPrune, 2 * holder_entries_);
+  prune_holders_at_ = std::max(kMinIndexPruneSize, 2 * holder_entries_);
 }
 
 std::vector<BackendId> LoadTable::holders(std::uint64_t part_key, std::size_t most,
@@ -311,7 +316,7 @@
   const std::vector<BackendId>& all = found->second;
   const std::size_t begin = all.size() > most ? random.below(all.size()) : 0;
   std::vector<BackendId> chosen;
-  for (std::size_t i = 0; i != all.size() && i != kMostHoldersTried && chosen.size() != most; ++i) {
+  for (std::size_t i = 0; i != all.size() && i != kMaxHoldersTried && chosen.size() != most; ++i) {
     const BackendId& id = all[(begin + i) % all.size()];
     const BackendLoad* load = find(id);
     const bool known = std::find(chosen.begin(), chosen.end(), id) != chosen.end();
@@ -322,32 +327,33 @@
   return chosen;
 }
 
-void LoadTable::begin(const BackendId& id, std::uint64_t unread_tokens) {
-  of(id).begin(unread_tokens);
+void LoadTable::begin(const BackendId& id, std::uint64_t prefill_tokens) {
+  of(id).begin(prefill_tokens);
   changed(id);
 }
 
-void LoadTable::note_read(const BackendId& id, std::uint64_t unread_tokens) {
+void LoadTable::note_prefilled(const BackendId& id, std::uint64_t prefill_tokens) {
   BackendLoad* load = known(id);
-  if (load != nullptr && unread_tokens != 0) {
-    load->note_read(unread_tokens);
+  if (load != nullptr && prefill_tokens != 0) {
+    load->note_prefilled(prefill_tokens);
     changed(id);
   }
 }
 
-void LoadTable::end(const BackendId& id, AttemptVerdict verdict, MonotonicTime now) {
+void LoadTable::end(const BackendId& id, AttemptOutcome outcome, MonotonicTime now) {
   BackendLoad* load = known(id);
   if (load == nullptr) {
     return;
   }
-  load->end(verdict, now);
-  if (ended_ && (verdict == AttemptVerdict::kGood || verdict == AttemptVerdict::kFailed)) {
-    ended_(id, verdict == AttemptVerdict::kFailed);
+  load->end(outcome, now);
+  if (ended_ && (outcome == AttemptOutcome::kSucceeded || outcome == AttemptOutcome::kFailed)) {
+    ended_(id, outcome == AttemptOutcome::kFailed);
   }
   changed(id);
-  const bool gone = verdict == AttemptVerdict::kUnreachable || verdict == AttemptVerdict::kReplaced;
-  if (gone && silent_) {
-    silent_(id);
+  const bool terminated_or_unreachable =
+      outcome == AttemptOutcome::kUnreachable || outcome == AttemptOutcome::kReplaced;
+  if (terminated_or_unreachable && unresponsive_callback_) {
+    unresponsive_callback_(id);
   }
 }
 
@@ -357,21 +363,21 @@
   }
 }
 
-void LoadTable::note_silence(const BackendId& id, MonotonicTime now) {
+void LoadTable::note_unresponsive(const BackendId& id, MonotonicTime now) {
   BackendLoad* load = known(id);
   if (load == nullptr) {
     return;
   }
-  load->note_silence(now);
-  if (silent_) {
-    silent_(id);
+  load->note_unresponsive(now);
+  if (unresponsive_callback_) {
+    unresponsive_callback_(id);
   }
 }
 
 EngineWorkload LoadTable::own(const BackendId& id) const {
   const BackendLoad* load = find(id);
   return load == nullptr ? EngineWorkload()
-                         : EngineWorkload{load->in_flight(), load->unread_tokens()};
+                         : EngineWorkload{load->in_flight(), load->pending_prefill_tokens()};
 }
 
 EngineWorkload LoadTable::others(const BackendId& id, MonotonicTime now) const {
--- a/src/gateway/load_table.h
+++ b/src/gateway/load_table.h
@@ -1,5 +1,5 @@
-// What this node knows of each back end's load and health: its own requests, what answers told, and
-// how they ended. Pure; one loop.
+// What this node knows about the load and health of each back end, from its own requests, the load
+// reports in responses, and how attempts ended. Does no I/O; used from one event loop.
 #pragma once
 
 #include <algorithm>
@@ -20,94 +20,100 @@
 
 namespace ochrespring::gateway {
 
-/// Load as a back end told it on an answer.
+/// Load that a back end reports in a response header.
 struct ReportedLoad {
   std::uint32_t running = 0;
   std::uint32_t waiting = 0;
   std::uint32_t slots = 1;
-  std::uint32_t pace_percent = 100;  ///< How long work takes now; 100: as usual.
+  std::uint32_t pace_percent = 100;  ///< Current duration of work in percent of normal.
 };
 
-/// Reads `RUNNING,WAITING,SLOTS` or `RUNNING,WAITING,SLOTS,PACE`.
+/// Parses `RUNNING,WAITING,SLOTS` or `RUNNING,WAITING,SLOTS,PACE`.
 std::optional<ReportedLoad> parse_load(std::string_view text);
 
-/// How many times as long as usual work took at the last report, and how much that still says, 0 to
-/// 1.
+/// Factor by which work took longer than normal at the last report, and the weight of that report,
+/// 0 to 1, which decreases with its age.
 struct ReportedPace {
   double factor = 1;
   double weight = 0;
 };
 
-/// How an attempt ended, as far as the back end's health goes.
-enum class AttemptVerdict : std::uint8_t {
-  kGood,
-  kRefused,      ///< Said itself that it did not run the request.
-  kFailed,       ///< Broke off, answered garbage or with a failure, or was silent for too long.
-  kUnreachable,  ///< No connection.
-  kNotSent,      ///< Kept back before its first byte left: says nothing.
-  kReplaced,     ///< Another back end answers at its address: it has ended.
-  kAbandoned,    ///< Ended by us or the caller; tells nothing.
+/// Outcome of an attempt, as far as it affects the health of the back end.
+enum class AttemptOutcome : std::uint8_t {
+  kSucceeded,
+  kRefused,      ///< The back end answered that it did not run the request.
+  kFailed,       ///< Broken connection, malformed response, error response, or timeout.
+  kUnreachable,  ///< No connection could be made.
+  kNotSent,      ///< Withdrawn before its first byte was sent; no evidence about the back end.
+  kReplaced,     ///< Another back end answers at its address: this one has terminated.
+  kAbandoned,    ///< Ended by the gateway or the caller; no evidence about the back end.
 };
 
-/// One back end as this node sees it.
+/// Load and health of one back end, as this node knows them.
 class BackendLoad {
  public:
-  void begin(std::uint64_t unread_tokens);
-  /// The prompt has been read: the first event came, or the attempt has ended.
-  void note_read(std::uint64_t unread_tokens);
-  void end(AttemptVerdict verdict, MonotonicTime now);
-  /// The back end has stopped to acknowledge what is sent to it: it is left alone for a while.
-  void note_silence(MonotonicTime now);
+  void begin(std::uint64_t prefill_tokens);
+  /// Prefill of these tokens is over: the first event arrived, or the attempt ended.
+  void note_prefilled(std::uint64_t prefill_tokens);
+  void end(AttemptOutcome outcome, MonotonicTime now);
+  /// The back end has stopped acknowledging what is sent to it; ejects it for a while.
+  void note_unresponsive(MonotonicTime now);
   void note_report(const ReportedLoad& load, MonotonicTime now);
 
-  /// Requests of others at the last report, fading with its age.
+  /// Requests of other nodes at the last report, with a weight that decreases with its age.
   double reported_others(MonotonicTime now) const;
   std::uint32_t in_flight() const { return in_flight_; }
-  std::uint64_t unread_tokens() const { return unread_tokens_; }
+  std::uint64_t pending_prefill_tokens() const { return pending_prefill_tokens_; }
   double reported_waiting(MonotonicTime now) const;
-  /// How many times as long as usual work takes, by the last report, fading to 1 with its age.
+  /// Factor by which work takes longer than normal by the last report; approaches 1 with its age.
   double slowness(MonotonicTime now) const;
   ReportedPace pace(MonotonicTime now) const;
-  /// Share of recent attempts that failed, fading with time, 0 to 1.
+  /// Share of recent attempts that failed, 0 to 1; decays over time.
   double failure_share(MonotonicTime now) const;
-  /// Other nodes' attempts ended, so many of them in failure; counted like this node's own.
-  void note_told_ends(std::uint32_t ended, std::uint32_t failed, MonotonicTime now);
-  /// Share of recent requests that the back end turned away, fading with time, 0 to 1; at least
-  /// kToldPauseShare while another node has been asked to send it nothing.
+  /// Adds attempts of other nodes, `failed` of `ended` without success; they count like this node's
+  /// own.
+  void note_peer_outcomes(std::uint32_t ended, std::uint32_t failed, MonotonicTime now);
+  /// Share of recent requests that the back end refused, 0 to 1; decays over time. At least
+  /// kPeerBackoffRefusalShare during a backoff period that the back end has requested from another
+  /// node.
   double refusal_share(MonotonicTime now) const;
-  /// Whether this node's requests are mostly turned away there: taken only if there is no other.
-  bool mostly_refuses(MonotonicTime now) const { return own_refusal_share(now) >= kMostRefusals; }
-  /// The back end has asked another node to send it nothing until then.
-  void note_told_pause(MonotonicTime until) {
-    told_pause_until_ = std::max(told_pause_until_, until);
+  /// Whether the back end refuses most of this node's requests; it is then used only if there is no
+  /// alternative.
+  bool mostly_refuses(MonotonicTime now) const {
+    return own_refusal_share(now) >= kMaxRefusalShare;
   }
-  MonotonicTime told_pause_until() const { return told_pause_until_; }
-  /// Another node says that the back end is silent. Believed unless it has just answered this one:
-  /// it may be the other's own link.
-  void note_told_silence(MonotonicTime now);
-  /// Whether the back end is left alone for now.
+  /// The back end has requested a backoff from another node, until `until`.
+  void note_peer_backoff(MonotonicTime until) {
+    peer_backoff_until_ = std::max(peer_backoff_until_, until);
+  }
+  MonotonicTime peer_backoff_until() const { return peer_backoff_until_; }
+  /// Another node reports that the back end is unresponsive. Ignored if the back end has just
+  /// answered this node, since the cause may be the other node's network link.
+  void note_peer_unresponsive(MonotonicTime now);
+  /// Whether the back end is ejected: used only if there is no alternative.
   bool ejected(MonotonicTime now) const { return now < ejected_until_; }
-  /// Whether another back end has its address: it has ended, and what is sent there works for
-  /// nobody.
+  /// Whether another back end answers at its address: this one has terminated, and requests for it
+  /// cannot succeed there.
   bool replaced(MonotonicTime now) const { return now < replaced_until_; }
 
-  /// Remembers that a prompt part is in the back end's cache; returns whether that is new.
+  /// Records that a prompt part is in the back end's cache; returns whether it was not recorded
+  /// before.
   bool note_cached(std::uint64_t part_key, MonotonicTime now);
   bool holds(std::uint64_t part_key, MonotonicTime now) const;
-  /// Forgets a part that was first sent to the back end at `first_used` or later.
+  /// Removes a part that was first sent to the back end at `first_used` or later.
   void forget_cached(std::uint64_t part_key, MonotonicTime first_used);
-  /// When the part was last used, if the back end has surely read it by now and is believed to keep
-  /// it still: others may fetch it there.
+  /// Time of the part's last use, if its prefill is certainly over and the part is assumed to be
+  /// still cached, so that other engines may fetch it; otherwise none.
   std::optional<MonotonicTime> ready_part(std::uint64_t part_key, MonotonicTime now) const;
 
-  /// All that `holds` now.
-  std::vector<std::uint64_t> held_parts(MonotonicTime now) const;
+  /// Keys of all parts for which holds() is true.
+  std::vector<std::uint64_t> cached_part_keys(MonotonicTime now) const;
   std::size_t cached_parts() const { return cached_.size(); }
 
  private:
-  static constexpr std::size_t kLeastPrune = 1024;
-  static constexpr double kToldPauseShare = 0.5;
-  static constexpr double kMostRefusals = 0.5;
+  static constexpr std::size_t kMinPruneSize = 1024;
+  static constexpr double kPeerBackoffRefusalShare = 0.5;
+  static constexpr double kMaxRefusalShare = 0.5;
 
   struct CachedPart {
     MonotonicTime first_used{};
@@ -115,32 +121,33 @@
     std::uint64_t used_at_note = 0;  ///< `parts_noted_` at its last use.
   };
 
-  /// Whether the part is believed to be kept, by its age or because little was read there since.
-  bool believed(const CachedPart& part, Duration belief, MonotonicTime now) const;
+  /// Whether the part is assumed to be still cached: its age is below `cache_time`, or few parts
+  /// have been prefilled there since its last use.
+  bool is_probably_cached(const CachedPart& part, Duration cache_time, MonotonicTime now) const;
   double own_refusal_share(MonotonicTime now) const;
-  void fade(MonotonicTime now);
-  void count_ends(double ended, double failed);
+  void decay(MonotonicTime now);
+  void count_outcomes(double ended, double failed);
 
   std::uint32_t in_flight_ = 0;
-  std::uint64_t unread_tokens_ = 0;
+  std::uint64_t pending_prefill_tokens_ = 0;
   ReportedLoad reported_;
   std::uint32_t own_at_report_ = 0;
   std::optional<MonotonicTime> reported_at_;
-  double failures_ = 0;  ///< Fading counts.
+  double failures_ = 0;  ///< Decaying counts.
   double attempts_ = 0;
-  double refusals_ = 0;  ///< Not among the attempts: the back end is well.
-  MonotonicTime faded_at_{};
-  MonotonicTime told_pause_until_{};
+  double refusals_ = 0;  ///< Not counted as attempts, since the back end is healthy.
+  MonotonicTime decayed_at_{};
+  MonotonicTime peer_backoff_until_{};
   std::uint32_t unreachable_in_row_ = 0;
   MonotonicTime ejected_until_{};
   MonotonicTime replaced_until_{};
   std::optional<MonotonicTime> answered_at_;
-  std::unordered_map<std::uint64_t, CachedPart> cached_;  ///< By part key; old ones are dropped.
-  std::size_t prune_cached_at_ = kLeastPrune;             ///< Size at which that is done.
-  std::uint64_t parts_noted_ = 0;                         ///< In all.
+  std::unordered_map<std::uint64_t, CachedPart> cached_;  ///< By part key; old entries are pruned.
+  std::size_t prune_cached_at_ = kMinPruneSize;           ///< Size that triggers pruning.
+  std::uint64_t parts_noted_ = 0;                         ///< Total over time.
 };
 
-/// All back ends of one node.
+/// Load and health of all back ends that one node knows.
 class LoadTable {
  public:
   BackendLoad& of(const BackendId& id) { return loads_[id]; }
@@ -148,67 +155,71 @@
   const std::map<BackendId, BackendLoad>& all() const { return loads_; }
   void forget(const BackendId& id) { loads_.erase(id); }
 
-  /// The same as of the back end's load, and told to whoever listens to changes. A back end that
-  /// was forgotten while a request ran there stays forgotten.
-  void begin(const BackendId& id, std::uint64_t unread_tokens);
-  void note_read(const BackendId& id, std::uint64_t unread_tokens);
-  void end(const BackendId& id, AttemptVerdict verdict, MonotonicTime now);
+  /// These update the back end's BackendLoad and call the callbacks. Except for begin(), they have
+  /// no effect on a back end that has been forgotten, such as one removed while a request was
+  /// running.
+  void begin(const BackendId& id, std::uint64_t prefill_tokens);
+  void note_prefilled(const BackendId& id, std::uint64_t prefill_tokens);
+  void end(const BackendId& id, AttemptOutcome outcome, MonotonicTime now);
   void note_report(const BackendId& id, const ReportedLoad& load, MonotonicTime now);
 
-  void note_silence(const BackendId& id, MonotonicTime now);
-  /// Called when a back end has fallen silent or could not be reached.
-  void on_silence(std::function<void(const BackendId&)> callback) { silent_ = std::move(callback); }
+  void note_unresponsive(const BackendId& id, MonotonicTime now);
+  /// Sets the callback for a back end that has become unresponsive, unreachable or replaced.
+  void on_unresponsive(std::function<void(const BackendId&)> callback) {
+    unresponsive_callback_ = std::move(callback);
+  }
 
-  /// Remembers the parts of a prompt that a back end reads now.
+  /// Records the shared parts of a prompt that a back end prefills.
   void note_prompt(const BackendId& id, const Prompt& prompt, MonotonicTime now);
-  /// The back end has not read a prompt that was sent to it at `sent`: what was not believed there
-  /// before is not believed now.
+  /// The back end did not prefill a prompt that was sent to it at `sent`: removes its parts, except
+  /// those recorded before.
   void forget_prompt(const BackendId& id, const Prompt& prompt, MonotonicTime sent);
-  /// Remembers one part that a back end keeps, as another node tells.
+  /// Records one part that a back end has cached, as another node reports.
   void note_cached(const BackendId& id, std::uint64_t part_key, MonotonicTime now);
-  /// Some of the back ends that are believed to keep a part: all if they are no more than `most`,
-  /// else so many by chance.
+  /// Back ends that are assumed to have a part cached: all if there are at most `most`, otherwise a
+  /// random selection of `most`.
   std::vector<BackendId> holders(std::uint64_t part_key, std::size_t most, MonotonicTime now,
                                  RandomSource& random) const;
-  /// Remembers parts by their keys.
+  /// Records cached parts by their keys.
   void note_parts(const BackendId& id, const std::vector<std::uint64_t>& keys, MonotonicTime now);
-  /// Called with the parts that a back end reads or turns out to keep.
+  /// Sets the callback for parts that a back end prefills or is found to have cached.
   void on_prompt(
       std::function<void(const BackendId&, const std::vector<std::uint64_t>&)> callback) {
-    prompt_read_ = std::move(callback);
+    parts_cached_callback_ = std::move(callback);
   }
 
-  /// Called when an attempt that tells of the back end's health has ended.
+  /// Sets the callback for attempts that ended in success or failure.
   void on_end(std::function<void(const BackendId&, bool failed)> callback) {
     ended_ = std::move(callback);
   }
-  /// Called after this node's work at a back end has changed.
+  /// Sets the callback for changes of this node's own workload at a back end.
   void on_change(std::function<void(const BackendId&)> callback) { changed_ = std::move(callback); }
-  /// Where to ask for the work of other nodes; null: nowhere.
+  /// Source of the workload of other nodes; null: there is none.
   void set_peers(const PeerView* peers) { peers_ = peers; }
-  /// This node's own work at a back end.
+  /// This node's own workload at a back end.
   EngineWorkload own(const BackendId& id) const;
-  /// Work of the other nodes at a back end, as they told it.
+  /// Workload of other nodes at a back end, as they report it.
   EngineWorkload others(const BackendId& id, MonotonicTime now) const;
 
  private:
-  static constexpr std::size_t kLeastIndexPrune = 4096;
-  /// Of those that may keep a part; where it is so common, any engine will do.
-  static constexpr std::size_t kMostHoldersTried = 64;
+  static constexpr std::size_t kMinIndexPruneSize = 4096;
+  /// Entries of one part that are checked; a more common part is cached by most engines.
+  static constexpr std::size_t kMaxHoldersTried = 64;
 
   void changed(const BackendId& id) const;
   BackendLoad* known(const BackendId& id);
   void index_part(const BackendId& id, std::uint64_t part_key, MonotonicTime now);
 
   std::map<BackendId, BackendLoad> loads_;
-  /// By part, those that have kept it; some may have forgotten it or stand there twice.
+  /// Back ends by part key; may contain duplicates and back ends that have evicted the part.
   std::unordered_map<std::uint64_t, std::vector<BackendId>> holders_;
   std::size_t holder_entries_ = 0;
-  std::size_t prune_holders_at_ = kLeastIndexPrune;  ///< Entries at which the index is made anew.
+  /// Number of entries that triggers a rebuild of the index.
+  std::size_t prune_holders_at_ = kMinIndexPruneSize;
   std::function<void(const BackendId&)> changed_;
-  std::function<void(const BackendId&)> silent_;
+  std::function<void(const BackendId&)> unresponsive_callback_;
   std::function<void(const BackendId&, bool)> ended_;
-  std::function<void(const BackendId&, const std::vector<std::uint64_t>&)> prompt_read_;
+  std::function<void(const BackendId&, const std::vector<std::uint64_t>&)> parts_cached_callback_;
   const PeerView* peers_ = nullptr;
 };
 
--- a/src/gateway/peer_view.h
+++ b/src/gateway/peer_view.h
@@ -1,4 +1,4 @@
-// What other nodes are known to do at a back end.
+// Workload of other nodes at a back end.
 #pragma once
 
 #include <cstdint>
@@ -8,18 +8,19 @@
 
 namespace ochrespring::gateway {
 
-/// Requests at an engine, and prompt tokens it has still to read for them.
+/// Requests at an engine, and the prompt tokens that it has yet to prefill for them.
 struct EngineWorkload {
   std::uint32_t requests = 0;
-  std::uint64_t unread_tokens = 0;
+  std::uint64_t pending_prefill_tokens = 0;
 
   EngineWorkload& operator+=(const EngineWorkload& other) {
     requests += other.requests;
-    unread_tokens += other.unread_tokens;
+    pending_prefill_tokens += other.pending_prefill_tokens;
     return *this;
   }
 };
 
+/// Provides the workload that other nodes report.
 class PeerView {
  public:
   virtual ~PeerView() = default;
--- a/src/gateway/prompt.cc
+++ b/src/gateway/prompt.cc
@@ -16,7 +16,7 @@
   return number;
 }
 
-/// Takes the text up to `separator` off the front.
+/// Removes the text up to `separator`, and the separator, from the front and returns the text.
 std::string_view take_until(std::string_view& text, char separator) {
   const std::size_t at = std::min(text.find(separator), text.size());
   const std::string_view taken = text.substr(0, at);
--- a/src/gateway/prompt.h
+++ b/src/gateway/prompt.h
@@ -1,4 +1,4 @@
-// The parts of a prompt as a caller names them.
+// The parts of a prompt, as named by the caller.
 #pragma once
 
 #include <cstdint>
@@ -11,25 +11,25 @@
 struct PromptPart {
   std::string id;
   std::uint64_t tokens = 0;
-  std::uint64_t key = 0;  ///< Stable hash of the id, the same on every node.
+  std::uint64_t key = 0;  ///< Hash of the id, equal on all nodes.
 };
 
-/// Parts in order; the last is the request's own or its session's.
+/// Parts of a prompt in order; the last one belongs to the request or its session alone.
 struct Prompt {
   std::vector<PromptPart> parts;
-  std::uint64_t tokens = 0;         ///< All of the prompt.
-  std::uint64_t output_tokens = 0;  ///< At most.
-  /// The caller's estimate, no more than `output_tokens`; `output_tokens` without one.
+  std::uint64_t tokens = 0;         ///< Of the whole prompt.
+  std::uint64_t output_tokens = 0;  ///< Upper bound.
+  /// The caller's estimate, at most `output_tokens`; equal to it without an estimate.
   std::uint64_t expected_output_tokens = 0;
 
-  /// Key of what the prompt shares with others: the last part before its own, or empty.
+  /// Id of the last shared part, which identifies the shared prefix; empty if there is none.
   std::string_view shared_key() const;
   std::uint64_t shared_tokens() const;
   std::uint64_t own_tokens() const { return tokens - shared_tokens(); }
 };
 
-/// Reads `ID:TOKENS,...` and `PROMPT,OUTPUT`; what cannot be read is left out.
-/// `estimate`: of the output in tokens; may be empty.
+/// Parses `ID:TOKENS,...` and `PROMPT,OUTPUT`; malformed values are ignored.
+/// `estimate` is the estimated number of output tokens; may be empty.
 Prompt parse_prompt(std::string_view parts, std::string_view counts,
                     std::string_view estimate = {});
 
--- a/src/gateway/prompt_cache.cc
+++ b/src/gateway/prompt_cache.cc
@@ -10,12 +10,12 @@
 
 }  // namespace
 
-void PromptCache::note_end(AttemptVerdict verdict) {
-  if (verdict == AttemptVerdict::kRefused) {
+void PromptCache::note_end(AttemptOutcome outcome) {
+  if (outcome == AttemptOutcome::kRefused) {
     release();
-  } else if (verdict != AttemptVerdict::kUnreachable && verdict != AttemptVerdict::kNotSent &&
-             verdict != AttemptVerdict::kReplaced) {
-    // Taken: a handle serves once.
+  } else if (outcome != AttemptOutcome::kUnreachable && outcome != AttemptOutcome::kNotSent &&
+             outcome != AttemptOutcome::kReplaced) {
+    // The cache may have been taken: a handle is valid for one use.
     handle_.reset();
   }
 }
@@ -26,7 +26,7 @@
   }
   if (environment_.gate != nullptr &&
       environment_.gate->is_paused(handle_->engine, environment_.clock.now())) {
-    // It lapses by itself.
+    // The engine's cache entry expires by itself.
     handle_.reset();
     return;
   }
--- a/src/gateway/prompt_cache.h
+++ b/src/gateway/prompt_cache.h
@@ -1,5 +1,5 @@
-// The KV cache that a prefill engine made for one request: kept until a runner takes it or it is
-// freed.
+// The KV cache that a prefill engine has created for one request, held until the engine that runs
+// the request takes it or it is released.
 #pragma once
 
 #include <optional>
@@ -11,18 +11,19 @@
 
 namespace ochrespring::gateway {
 
-/// One request's; one loop.
+/// Belongs to one request; used from one event loop.
 class PromptCache {
  public:
-  /// `environment` outlives it.
+  /// `environment` must outlive this object.
   explicit PromptCache(Environment& environment) : environment_(environment) {}
 
   void hold(CacheHandle handle) { handle_ = std::move(handle); }
   bool held() const { return handle_.has_value(); }
   const std::optional<CacheHandle>& handle() const { return handle_; }
-  /// An attempt that was offered the cache has ended: it may have been taken, or be offered again.
-  void note_end(AttemptVerdict verdict);
-  /// Frees a cache that nobody will take.
+  /// Handles the end of an attempt that was offered the cache: releases it, keeps it for another
+  /// attempt, or drops the handle because the cache may have been taken.
+  void note_end(AttemptOutcome outcome);
+  /// Releases a cache that will not be used.
   void release();
 
  private:
--- a/src/gateway/rate_limit_header.cc
+++ b/src/gateway/rate_limit_header.cc
@@ -6,11 +6,11 @@
 
 namespace {
 
-constexpr std::size_t kMostDigits = 9;
+constexpr std::size_t kMaxDigits = 9;
 constexpr std::size_t kFractionDigits = 3;
 
 bool are_digits(std::string_view text) {
-  return !text.empty() && text.size() <= kMostDigits &&
+  return !text.empty() && text.size() <= kMaxDigits &&
          std::all_of(text.begin(), text.end(), [](char c) { return c >= '0' && c <= '9'; });
 }
 
--- a/src/gateway/rate_limit_header.h
+++ b/src/gateway/rate_limit_header.h
@@ -1,4 +1,4 @@
-// What a back end says in an answer of the rate that it takes.
+// Parses the rate limit that a back end sends in a response.
 #pragma once
 
 #include <compare>
@@ -12,7 +12,7 @@
 
 namespace ochrespring::gateway {
 
-/// Requests a second, in thousandths.
+/// Requests per second, in thousandths.
 struct RequestRate {
   std::uint64_t thousandths = 0;
 
@@ -25,25 +25,24 @@
   }
 };
 
-/// Reads a decimal number: digits, and perhaps a point and more digits. Anything else, and what is
-/// longer than nine digits on either side of the point, is none. Digits after the third behind the
-/// point are dropped, so that the rate read is never above the one named.
+/// Parses a decimal number: digits, optionally followed by a point and more digits. Returns none
+/// for anything else, and for more than nine digits on either side of the point. Drops digits after
+/// the third decimal place, so that the result is never above the stated rate.
 std::optional<RequestRate> parse_rate(std::string_view text);
 
-/// What the headers of an answer say of its back end's rate limit.
+/// What the headers of a response say about the back end's rate limit.
 struct RateStatement {
   enum class Kind : std::uint8_t {
     kNone,        ///< There is no limit.
     kLimited,     ///< The limit is `rate`.
-    kUnreadable,  ///< There may be a limit, but no telling which: tells neither of one nor of its
-                  ///< end.
+    kUnreadable,  ///< The value is malformed: neither sets nor removes a limit.
   };
   Kind kind = Kind::kNone;
   RequestRate rate;
-  std::string text;  ///< What could not be read.
+  std::string text;  ///< The malformed value.
 };
 
-/// Where several headers of the name can be read, the lowest rate counts.
+/// Of several valid headers with this name the lowest rate applies.
 RateStatement read_rate_limit(const std::vector<http::Header>& headers, std::string_view name);
 
 }  // namespace ochrespring::gateway
--- a/src/gateway/repeat_limit.h
+++ b/src/gateway/repeat_limit.h
@@ -27,7 +27,7 @@
   void allow_one_more() { ++uncounted_; }
   /// Whether the attempt that runs, or with `ended` the last one, is the last of the route.
   bool is_last_attempt(bool ended) const {
-    return sends_ + (ended ? 0 : 1) >= route_.most_attempts + uncounted_;
+    return sends_ + (ended ? 0 : 1) >= route_.max_attempts + uncounted_;
   }
 
   /// What stands against one more send; empty: nothing. Takes it out of the budget.
--- a/src/gateway/request_dispatch.cc
+++ b/src/gateway/request_dispatch.cc
@@ -132,8 +132,8 @@
     if (demand != Demand::kNothing && !fits(wanted, plan, now)) {
       return Outcome::kNoRoom;
     }
-    const bool prefill = plan.reader.backend != nullptr;
-    denied = !claim_and_start(prefill ? plan.reader : plan.runner,
+    const bool prefill = plan.prefill.backend != nullptr;
+    denied = !claim_and_start(prefill ? plan.prefill : plan.runner,
                               prefill ? SendKind::kPrefill : SendKind::kRun);
   }
   return Outcome::kDone;
--- a/src/gateway/request_session.cc
+++ b/src/gateway/request_session.cc
@@ -98,7 +98,7 @@
   dispatch_->begin();
 }
 
-std::optional<StreamNeeds> RequestSession::stream_needs() const {
+std::optional<StreamRequirements> RequestSession::stream_needs() const {
   const Service* service = routes_->configuration().find_service(service_);
   if (!is_stream() || !prompt_ || service == nullptr || !service->engine ||
       service->engine->tokens_per_event == 0) {
@@ -108,23 +108,23 @@
   const auto events = [&](std::uint64_t output) {
     return std::ceil(static_cast<double>(output) / tokens);
   };
-  return StreamNeeds{.target_gap = route_.target_gap,
-                     .shortest_gap = routes_->shortest_gap(service_),
-                     .time_left = time_left(),
-                     .tokens_per_event = tokens,
-                     .expected_events = events(prompt_->expected_output_tokens),
-                     .most_events = events(prompt_->output_tokens)};
+  return StreamRequirements{.target_gap = route_.target_gap,
+                            .min_target_gap = routes_->min_target_gap(service_),
+                            .time_left = time_left(),
+                            .tokens_per_event = tokens,
+                            .expected_events = events(prompt_->expected_output_tokens),
+                            .max_events = events(prompt_->output_tokens)};
 }
 
 PlacementRequest RequestSession::placement_request() const {
   PlacementRequest wanted;
   wanted.service = service_;
   wanted.prompt = prompt_ ? &*prompt_ : nullptr;
-  wanted.may_read_apart = !read_apart_;
+  wanted.allow_separate_prefill = !read_apart_;
   wanted.avoid = tried_;
   wanted.gate = environment_.gate;
   wanted.stream = stream_needs();
-  wanted.where_least_runs = dispatch_->trial();
+  wanted.fewest_requests_only = dispatch_->trial();
   wanted.connected = [this](const Backend& backend) {
     return environment_.transport.has_idle_connection(backend.address);
   };
@@ -242,7 +242,7 @@
     observe_prefill();
   }
   note(handle ? "prefill done" : "prefill refused", handle.value_or(""));
-  end_attempt(handle ? AttemptVerdict::kGood : verdict_of_failed_prefill(attempt_->statement));
+  end_attempt(handle ? AttemptOutcome::kSucceeded : verdict_of_failed_prefill(attempt_->statement));
   if (!handle && !repeats_.spend(service_)) {
     give_up(FailureReason::kRefused);
     return;
@@ -294,9 +294,9 @@
       ++environment_.statistics.copies_missing;
     }
     // An engine without the copy is neither ill nor full.
-    const AttemptVerdict refused =
-        attempt_->continues ? AttemptVerdict::kAbandoned : AttemptVerdict::kRefused;
-    end_attempt(statement.misdirected ? AttemptVerdict::kReplaced : refused);
+    const AttemptOutcome refused =
+        attempt_->continues ? AttemptOutcome::kAbandoned : AttemptOutcome::kRefused;
+    end_attempt(statement.misdirected ? AttemptOutcome::kReplaced : refused);
     retry_or_give_up(FailureReason::kRefused);
     return;
   }
@@ -304,7 +304,7 @@
   note_run(environment_.clock.now() - attempt_->started);
   if (!statement.is_signed) {
     note("attempt without signature", std::to_string(head.status));
-    end_attempt(AttemptVerdict::kFailed);
+    end_attempt(AttemptOutcome::kFailed);
     retry_or_give_up(FailureReason::kBroken);
     return;
   }
@@ -316,7 +316,7 @@
   if (!is_success(head.status) && !answer_open_ && route_.repeatable() && may_send_again()) {
     note("attempt failed at the back end", std::to_string(head.status));
     failed_answer_ = FailedAnswer{head, std::move(attempt_->body)};
-    end_attempt(AttemptVerdict::kFailed);
+    end_attempt(AttemptOutcome::kFailed);
     dispatch_->begin();
     return;
   }
@@ -331,7 +331,7 @@
     writer_->finish();
   } else if (answer_open_) {
     // A resumed stream was answered with something else.
-    end_attempt(AttemptVerdict::kFailed);
+    end_attempt(AttemptOutcome::kFailed);
     retry_or_give_up(FailureReason::kBroken);
     return;
   } else {
@@ -339,7 +339,8 @@
   }
   ++environment_.statistics.answered;
   environment_.statistics.continued_whole += attempt_->streams && attempt_->continues ? 1 : 0;
-  end_attempt(is_success(attempt_->head->status) ? AttemptVerdict::kGood : AttemptVerdict::kFailed);
+  end_attempt(is_success(attempt_->head->status) ? AttemptOutcome::kSucceeded
+                                                 : AttemptOutcome::kFailed);
   finish("answered");
 }
 
@@ -356,7 +357,7 @@
       attempt_->prompt_read = true;
       note("first event", "");
       note_run(Duration::zero());
-      environment_.loads.note_read(attempt_->backend, attempt_->unread_tokens);
+      environment_.loads.note_prefilled(attempt_->backend, attempt_->unread_tokens);
       observe_prefill();
       observe_stream();
     }
@@ -406,7 +407,7 @@
   if (!sent) {
     note("no connection", error.message);
     ++unreachable_;
-    end_attempt(AttemptVerdict::kUnreachable);
+    end_attempt(AttemptOutcome::kUnreachable);
     if (unreachable_ < kMostUnreachable) {
       dispatch_unsent(attempt_->continues ? SendKind::kContinuation : SendKind::kRun);
     } else {
@@ -418,7 +419,7 @@
   const bool silent = error.code == http::HttpErrc::kTimeout;
   reports_.note_break(service_, *attempt_, silent ? BreakKind::kSilent : BreakKind::kClosed);
   if (silent) {
-    environment_.loads.note_silence(attempt_->backend, environment_.clock.now());
+    environment_.loads.note_unresponsive(attempt_->backend, environment_.clock.now());
   }
   if (attempt_->prefill) {
     end_prefill(true);
@@ -436,7 +437,7 @@
     tried_.erase(attempt_->backend);
   }
   const BrokenRun run = broken_run(error.code);
-  end_attempt(stale ? AttemptVerdict::kAbandoned : AttemptVerdict::kFailed);
+  end_attempt(stale ? AttemptOutcome::kAbandoned : AttemptOutcome::kFailed);
   continue_or_retry(run);
 }
 
@@ -493,7 +494,7 @@
   if (attempt_->prefill) {
     read_apart_ = false;
   }
-  end_attempt(AttemptVerdict::kNotSent);
+  end_attempt(AttemptOutcome::kNotSent);
   dispatch_unsent(attempt_->continues ? SendKind::kContinuation : SendKind::kRun);
 }
 
@@ -526,13 +527,13 @@
 }
 
 /// Closes the attempt's connection, if it still runs, and accounts for it.
-void RequestSession::end_attempt(AttemptVerdict verdict) {
+void RequestSession::end_attempt(AttemptOutcome verdict) {
   progress_timer_.disarm();
   if (!at_work()) {
     return;
   }
   if (!std::exchange(attempt_->prompt_read, true)) {
-    environment_.loads.note_read(attempt_->backend, attempt_->unread_tokens);
+    environment_.loads.note_prefilled(attempt_->backend, attempt_->unread_tokens);
   }
   if (attempt_->observed) {
     attempt_->observed->end(environment_.clock.now());
@@ -616,7 +617,7 @@
   repeats_.note_send();
   may_have_run_ = true;
   reports_.note_break(service_, *attempt_, BreakKind::kSilent);
-  end_attempt(AttemptVerdict::kFailed);
+  end_attempt(AttemptOutcome::kFailed);
 }
 
 void RequestSession::on_backend_gone(const BackendId& backend) {
@@ -651,7 +652,7 @@
 }
 
 void RequestSession::give_up(FailureReason reason) {
-  end_attempt(AttemptVerdict::kAbandoned);
+  end_attempt(AttemptOutcome::kAbandoned);
   environment_.statistics.quarantined += reason == FailureReason::kQuarantined ? 1 : 0;
   environment_.statistics.rate_limited += reason == FailureReason::kRateLimited ? 1 : 0;
   environment_.statistics.backing_off += reason == FailureReason::kBackingOff ? 1 : 0;
@@ -686,7 +687,7 @@
     reports_.note_break(service_, *attempt_, BreakKind::kAbandoned);
   }
   ++environment_.statistics.caller_gone;
-  end_attempt(AttemptVerdict::kAbandoned);
+  end_attempt(AttemptOutcome::kAbandoned);
   finish("caller-gone");
 }
 
--- a/src/gateway/request_session.h
+++ b/src/gateway/request_session.h
@@ -90,7 +90,7 @@
   void give_up(FailureReason reason) override;
 
   /// None where nothing is known of the events of the service's streams.
-  std::optional<StreamNeeds> stream_needs() const;
+  std::optional<StreamRequirements> stream_needs() const;
   AttemptInput attempt_input() const;
   std::uint32_t priority() const;
   void note_statement(const BackendStatement& statement);
@@ -108,7 +108,7 @@
   void abandon_silent_attempt();
   void continue_or_retry(const BrokenRun& run);
   void retry_or_give_up(FailureReason reason);
-  void end_attempt(AttemptVerdict verdict);
+  void end_attempt(AttemptOutcome verdict);
   void watch_progress();
   void on_no_progress();
 
--- a/src/gateway/route_table.cc
+++ b/src/gateway/route_table.cc
@@ -25,13 +25,13 @@
       continue;
     }
     for (const TrafficShare& share : route.shares) {
-      const auto [gap, fresh] = shortest_gaps_.try_emplace(share.service, route.target_gap);
+      const auto [gap, fresh] = min_target_gaps_.try_emplace(share.service, route.target_gap);
       gap->second = std::min(gap->second, route.target_gap);
     }
   }
   for (const Tenant& tenant : configuration_.tenants) {
     for (const KeyDigest& key : tenant.keys) {
-      // A key that several tenants name is the first one's on every node.
+      // A key that several tenants list belongs to the first one, on every node.
       by_key_.try_emplace(key, &tenant);
     }
   }
@@ -42,9 +42,9 @@
   }
 }
 
-Duration RouteTable::shortest_gap(const ServiceName& service) const {
-  const auto found = shortest_gaps_.find(service);
-  return found == shortest_gaps_.end() ? std::chrono::hours(24) : found->second;
+Duration RouteTable::min_target_gap(const ServiceName& service) const {
+  const auto found = min_target_gaps_.find(service);
+  return found == min_target_gaps_.end() ? std::chrono::hours(24) : found->second;
 }
 
 KeyCheck RouteTable::check_key(const Route& route, std::string_view authorization) const {
--- a/src/gateway/route_table.h
+++ b/src/gateway/route_table.h
@@ -1,4 +1,4 @@
-// Finds the route and the tenant of a request in one configuration.
+// Looks up the route and the tenant of a request in one configuration.
 #pragma once
 
 #include <map>
@@ -12,35 +12,35 @@
 
 namespace ochrespring::gateway {
 
-/// What a configuration says of a caller's key.
+/// Result of checking a caller's key.
 struct KeyCheck {
   bool allowed = false;
   const Tenant* tenant = nullptr;  ///< Null for a request without a key.
 };
 
-/// Immutable index of one configuration's routes and keys. Requests keep the table they were routed
-/// by.
+/// Immutable index of the routes and keys of one configuration. A request keeps the table with
+/// which it was routed.
 class RouteTable {
  public:
   explicit RouteTable(Configuration configuration);
 
-  /// The route of `host` (a port is ignored) with the longest prefix that begins `path`, or null.
+  /// Returns the route of `host` (a port is ignored) with the longest prefix of `path`, or null.
   const Route* find(std::string_view host, std::string_view path) const;
-  /// Whether a request on `route` may run with what its `Authorization` header says. A key that is
-  /// not known is never passed over, even where none is needed.
+  /// Checks whether a request on `route` may run with the value of its `Authorization` header. An
+  /// unknown key is rejected even on routes that need none.
   KeyCheck check_key(const Route& route, std::string_view authorization) const;
-  /// Whether callers' credentials are this system's, and no back end's.
+  /// Whether the gateway checks callers' credentials itself instead of passing them to back ends.
   bool has_tenants() const { return !configuration_.tenants.empty(); }
   const Configuration& configuration() const { return configuration_; }
-  /// The shortest target gap of all streams that may run at the service; a day without any.
-  Duration shortest_gap(const ServiceName& service) const;
+  /// Smallest target gap of all streams that may run at the service; a day if there are none.
+  Duration min_target_gap(const ServiceName& service) const;
 
  private:
   Configuration configuration_;
   /// Routes of each host, longest prefix first.
   std::unordered_map<std::string, std::vector<const Route*>> by_host_;
   std::unordered_map<KeyDigest, const Tenant*> by_key_;
-  std::map<ServiceName, Duration> shortest_gaps_;
+  std::map<ServiceName, Duration> min_target_gaps_;
 };
 
 }  // namespace ochrespring::gateway
--- a/src/gateway/share_picker.cc
+++ b/src/gateway/share_picker.cc
@@ -4,7 +4,8 @@
 
 namespace {
 
-/// The golden ratio's fraction: multiples of it spread most evenly over the unit interval.
+/// Fractional part of the golden ratio: its multiples modulo 1 are spread most evenly over the unit
+/// interval.
 constexpr double kStep = 0.6180339887498949;
 
 }  // namespace
--- a/src/gateway/share_picker.h
+++ b/src/gateway/share_picker.h
@@ -1,4 +1,4 @@
-// Splits a route's traffic between services by weight.
+// Splits the traffic of a route between services by weight.
 #pragma once
 
 #include <cmath>
@@ -9,13 +9,13 @@
 
 namespace ochrespring::gateway {
 
-/// Walks a low-discrepancy sequence for each route from a random start, so that the shares of few
-/// requests are already close to the weights, and those of several nodes do not move in step.
+/// Uses a low-discrepancy sequence for each route, starting at a random position: the shares of
+/// even a few requests are close to the weights, and nodes do not choose in lockstep.
 class SharePicker {
  public:
   explicit SharePicker(RandomSource& random) : random_(random) {}
 
-  /// The service of the next request. The route must have shares.
+  /// Returns the service for the next request. The route must have shares.
   const ServiceName& pick(const Route& route);
 
  private:
--- a/src/gateway/stream_backup.cc
+++ b/src/gateway/stream_backup.cc
@@ -41,7 +41,7 @@
 
 bool wants_backup(const Route& route, const EngineShape* shape, const Prompt* prompt,
                   std::string_view request_id, bool replicates_resumable) {
-  const bool may_be_sent_anew = route.repeatable() && route.most_attempts > 1;
+  const bool may_be_sent_anew = route.repeatable() && route.max_attempts > 1;
   if (may_be_sent_anew && !replicates_resumable) {
     return false;
   }
@@ -79,13 +79,13 @@
   const auto middle = loads.begin() + static_cast<std::ptrdiff_t>((loads.size() - 1) / 2);
   std::nth_element(loads.begin(), middle, loads.end());
   const double most = *middle;
-  return first_by_weight(engines, query.request_id,
-                         [&](const Backend& engine) { return load_of(engine, now) <= most; });
+  return rendezvous_choice(engines, query.request_id,
+                           [&](const Backend& engine) { return load_of(engine, now) <= most; });
 }
 
 bool BackupChooser::may_hold(const Backend& engine, const Query& query, MonotonicTime now) const {
   if (engine.id == query.runner->id || query.avoid->contains(engine.id) ||
-      fleet_.is_leaving(engine) || fleet_.is_doubted(engine.id, now)) {
+      fleet_.is_leaving(engine) || fleet_.is_distrusted(engine.id, now)) {
     return false;
   }
   const BackendLoad* load = loads_.find(engine.id);
--- a/src/gateway/stream_timing.h
+++ b/src/gateway/stream_timing.h
@@ -1,4 +1,4 @@
-// When the events of one stream were passed on, for the log.
+// Timing of the events that one stream has delivered, for the log.
 #pragma once
 
 #include <algorithm>
@@ -9,7 +9,7 @@
 
 namespace ochrespring::gateway {
 
-/// Counts events and remembers the longest pause between two of them. Pure.
+/// Counts events and records the longest gap between two of them.
 class StreamTiming {
  public:
   void note_event(MonotonicTime now) {
--- a/src/gateway/tests/backend_index_test.cc
+++ b/src/gateway/tests/backend_index_test.cc
@@ -1,4 +1,4 @@
-// Homes and samples of thousands of back ends.
+// Tests for homes and samples of fleets with thousands of back ends.
 #include "gateway/backend_index.h"
 
 #include <doctest/doctest.h>
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-TEST_CASE("a back end that goes moves the keys of which it was the home, and few others") {
+TEST_CASE("removing a back end moves exactly the keys whose home it was") {
   FleetState fleet;
   constexpr int kBackends = 2000;
   for (int i = 0; i != kBackends; ++i) {
@@ -51,7 +51,7 @@
   }
 }
 
-TEST_CASE("homes are spread over all back ends") {
+TEST_CASE("homes are spread evenly over all back ends") {
   FleetState fleet;
   for (int i = 0; i != 4000; ++i) {
     fleet.put(make_backend(i));
@@ -64,12 +64,13 @@
   for (const auto& [id, keys] : keys_of) {
     most = std::max(most, keys);
   }
-  // Two a back end on average; evenly drawn ones have 10 at most.
+  // Two keys per back end on average; a uniform random assignment has at most 10.
   CHECK(most <= 13);
   CHECK(keys_of.size() > 3200);
 }
 
-TEST_CASE("who is not accepted is passed over by all nodes alike, whatever order they learnt in") {
+TEST_CASE(
+    "the home depends on the accepted back ends only, not on the order in which they were added") {
   CHECK(rc::check([] {
     const int count = *rc::gen::inRange(1, 300);
     std::vector<int> order;
@@ -104,7 +105,7 @@
   }));
 }
 
-TEST_CASE("a sample has no member twice, and only accepted ones") {
+TEST_CASE("a sample contains distinct, accepted back ends") {
   FleetState fleet;
   for (int i = 0; i != 1000; ++i) {
     fleet.put(make_backend(i));
@@ -122,7 +123,7 @@
   CHECK(all.size() > 850);
 }
 
-TEST_CASE("the index follows the fleet through changes, ends and whole views") {
+TEST_CASE("the index follows updates, removals and replacements of the fleet") {
   FleetState fleet;
   fleet.put(make_backend(1, "llm", EngineRole::kPrefill));
   CHECK(fleet.index().find(ServiceName("llm"), true)->size() == 1);
--- a/src/gateway/tests/backend_statement_test.cc
+++ b/src/gateway/tests/backend_statement_test.cc
@@ -1,4 +1,4 @@
-// What is read of an answer's head, and what is not.
+// Tests for what is parsed from a response head, and what is ignored.
 #include "gateway/backend_statement.h"
 
 #include <doctest/doctest.h>
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-TEST_CASE("seconds with fractions are read, rounded up") {
+TEST_CASE("decimal seconds are parsed and rounded up") {
   struct Row {
     const char* text;
     Duration span;
@@ -46,7 +46,7 @@
   }
 }
 
-TEST_CASE("what is no number of seconds asks for nothing") {
+TEST_CASE("a malformed number of seconds requests no backoff") {
   for (const char* text :
        {"", " ", "soon", "-3", "+3", "1e9", "nan", "3 s", "3,5", ".5", "5.", "1.2.3", "0x10",
         "Fri, 31 Dec 1999 23:59:59 GMT", "1234567890123456789012345678901234567890"}) {
@@ -56,21 +56,21 @@
   }
 }
 
-TEST_CASE("of several times the longest that can be read counts") {
+TEST_CASE("of several retry-after headers the longest valid time applies") {
   CHECK(backoff_of({}).kind == Kind::kNone);
   CHECK(backoff_of({"2", "3.5", "1"}).span == 3500ms);
   CHECK(backoff_of({"soon", "2"}).span == 2s);
   CHECK(backoff_of({"2", "soon"}).kind == Kind::kAsked);
 }
 
-TEST_CASE("only a server that turns a request away with 503 asks to back off") {
+TEST_CASE("only a 503 response in which the server refuses the request requests a backoff") {
   const HeaderNames names;
   const http::Header time{"retry-after", "3"};
   CHECK(read(503, {time}).backoff.kind == Kind::kAsked);
   CHECK(read(503, {time, {names.not_run, "1"}}).backoff.kind == Kind::kAsked);
   CHECK(read(503, {time, {names.not_run, "1"}, {names.signature, "s"}}).backoff.kind ==
         Kind::kAsked);
-  // The application's own word on one request.
+  // Signed by the application, about one request only.
   CHECK(read(503, {time, {names.signature, "s"}}).backoff.kind == Kind::kNone);
   for (const std::uint16_t status : {200, 421, 429, 500, 502, 504}) {
     CAPTURE(status);
@@ -78,7 +78,7 @@
   }
 }
 
-TEST_CASE("a server that leaves says 1; anything else says nothing") {
+TEST_CASE("a leaving header has an effect only with the value 1") {
   const HeaderNames names;
   CHECK(read(200, {{names.leaving, "1"}}).leaving);
   CHECK(read(503, {{names.leaving, "1"}}).leaving);
@@ -93,7 +93,7 @@
   }
 }
 
-TEST_CASE("an answer of another server at the address tells nothing of this one") {
+TEST_CASE("headers of a response from another server at the address are ignored") {
   const HeaderNames names;
   const BackendStatement statement = read(421, {{names.leaving, "1"},
                                                 {names.load, "1,2,3"},
@@ -108,7 +108,7 @@
   CHECK(statement.backoff.kind == Kind::kNone);
 }
 
-TEST_CASE("whatever a header holds, the time that is read is never shorter than the number") {
+TEST_CASE("the parsed time is never shorter than the number, for any header value") {
   CHECK(rc::check([](const std::string& text) { parse_seconds(text); }));
   CHECK(rc::check([](std::uint16_t whole, std::uint64_t fraction) {
     const std::string text = std::to_string(whole) + "." + std::to_string(fraction);
@@ -119,9 +119,9 @@
   }));
 }
 
-// Every header that the pages give a meaning in an answer of a server. One without an effect says
-// why.
-TEST_CASE("no header of a server's answer is without a reader or a reason") {
+// Covers every header that has a documented meaning in a server's response. A header without an
+// effect on read_statement() states the reason.
+TEST_CASE("every documented response header is evaluated or has a stated reason not to be") {
   const HeaderNames names;
   const auto differs = [&](const http::Header& header, std::uint16_t status) {
     const BackendStatement with = read(status, {header});
@@ -143,14 +143,16 @@
       {{names.leaving, "1"}, 200, nullptr},
       {{names.not_run, "1"}, 503, nullptr},
       {{names.signature, "s"}, 200, nullptr},
-      {{names.request_id, "r1"}, 200, "http::ClientExchange, as the echo of the request"},
+      {{names.request_id, "r1"}, 200, "http::ClientExchange, compares it with the request"},
       {{"connection", "close"}, 200, "http::ClientExchange"},
       {{"keep-alive", "timeout=4"}, 200, "http::ClientExchange"},
       {{"content-length", "5"}, 200, "http::ClientExchange"},
       {{"transfer-encoding", "chunked"}, 200, "http::ClientExchange"},
-      {{"content-encoding", "gzip"}, 200, "nobody: bodies are passed on as they are"},
-      {{"x-instance-id", "i"}, 200, "nobody: health is not asked for; 421 tells another instance"},
-      {{"x-weight-versions", "3"}, 200, "nobody: no version is asked for; passed on to the caller"},
+      {{"content-encoding", "gzip"}, 200, "none: bodies are forwarded unchanged"},
+      {{"x-instance-id", "i"},
+       200,
+       "none: there are no health requests; status 421 shows another instance"},
+      {{"x-weight-versions", "3"}, 200, "none: no version is requested; forwarded to the caller"},
   };
   for (const Row& row : rows) {
     CAPTURE(row.header.name);
--- a/src/gateway/tests/caller_keys_test.cc
+++ b/src/gateway/tests/caller_keys_test.cc
@@ -1,4 +1,4 @@
-// Whose requests run: keys, tenants, and what happens while the configuration changes.
+// Tests for caller authentication: keys, tenants, and configuration changes.
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
@@ -22,13 +22,13 @@
     apply(2, {{"k1", "t1"}});
   }
 
-  /// Puts a configuration in force that knows these keys; the route `/open/` needs none.
+  /// Applies a configuration with these keys; the route `/open/` needs none.
   void apply(std::uint64_t version, const std::map<std::string, std::string>& keys) {
     Configuration configuration = make_configuration(version);
     Route open = make_route("/open/", RequestKind::kIdempotent, "relay", 1, false);
     open.anonymous = true;
     configuration.routes.push_back(open);
-    // A tenant without keys keeps the configuration one that asks for keys.
+    // A tenant without keys, so that the configuration always requires keys.
     configuration.tenants.push_back({.name = TenantName("nobody"), .priority = {}, .keys = {}});
     for (const auto& [key, tenant] : keys) {
       configuration.tenants.push_back(
@@ -37,7 +37,7 @@
     fleet.apply(std::move(configuration));
   }
 
-  /// Runs of tenants are counted.
+  /// Returns an environment that counts the runs of each tenant.
   Environment counting_into(std::map<std::string, int>& runs) {
     Environment made = environment();
     made.note_run = [&runs](const TenantName& tenant, Duration) { ++runs[tenant.value()]; };
@@ -51,7 +51,7 @@
 
 }  // namespace
 
-TEST_CASE("a request with a known key runs for its tenant, and the key goes no further") {
+TEST_CASE("a request with a known key runs for its tenant, and the key is not forwarded") {
   KeyedFixture world;
   world.send_with_key("/once/x", "Token k1");
   REQUIRE(world.sends() == 1);
@@ -61,7 +61,7 @@
   CHECK(world.sends() == 2);
 }
 
-TEST_CASE("a run whose signed answer breaks off counts for its tenant, once") {
+TEST_CASE("a request whose signed response breaks off is counted once for its tenant") {
   KeyedFixture world;
   std::map<std::string, int> runs;
   Gateway counting(world.counting_into(runs), [](auto done) { done(true); });
@@ -78,8 +78,8 @@
 }
 
 TEST_CASE(
-    "a request whose server closes before its answer counts as run, one that it may not have "
-    "had does not") {
+    "a request is counted as run if the server closes the connection before its response, but not "
+    "if it may not have received the request") {
   struct Row {
     http::HttpErrc code;
     int runs;
@@ -98,7 +98,7 @@
   }
 }
 
-TEST_CASE("a request without a known key is answered 401 and not run") {
+TEST_CASE("a request without a known key gets 401 and does not run") {
   KeyedFixture world;
   const std::string long_key(8192, 'k');
   for (const std::string& authorization :
@@ -114,19 +114,19 @@
   CHECK(world.statistics.unknown_key == 8);
 }
 
-TEST_CASE("a node that cannot tell whether a key is known promises only that nothing ran") {
+TEST_CASE("a node that cannot verify a key answers 503 and sends nothing") {
   KeyedFixture world;
   world.store_answers = false;
   CHECK(world.send_with_key("/once/x", "Token new")->head.status == 503);
   CHECK(world.sends() == 0);
 }
 
-TEST_CASE("an unknown route is told before an unknown key") {
+TEST_CASE("an unknown route takes precedence over an unknown key") {
   KeyedFixture world;
   CHECK(world.send_with_key("/nowhere/", "Token unknown")->head.status == 404);
 }
 
-TEST_CASE("an open route needs no key, but a key that is sent has to be known") {
+TEST_CASE("an anonymous route needs no key but rejects an unknown one") {
   KeyedFixture world;
   world.send("/open/x", {{world.names.tenant, "forged"}});
   REQUIRE(world.sends() == 1);
@@ -136,7 +136,8 @@
   CHECK(world.send_with_key("/open/x", "Token gone")->head.status == 401);
 }
 
-TEST_CASE("without tenants callers need no keys, and their credentials are back ends'") {
+TEST_CASE(
+    "without tenants callers need no keys, and their credentials are forwarded to back ends") {
   GatewayFixture world;
   world.add_backend("b1", "relay");
   world.send("/once/x", {{"authorization", "Basic own"}});
@@ -144,7 +145,7 @@
   CHECK(world.last().header("authorization") == "Basic own");
 }
 
-TEST_CASE("the tenant's priority goes before the route's") {
+TEST_CASE("the tenant's priority overrides the route's") {
   KeyedFixture world;
   world.add_backend("e1", "llm", EngineRole::kDecode);
   Configuration configuration = GatewayFixture::make_configuration(3);
@@ -161,8 +162,10 @@
   CHECK(priority_of("k2") == std::to_string(engine_priority(0, 10)));
 }
 
-TEST_CASE("through storms of configurations a key runs just while it is known, for its tenant") {
-  CHECK(rc::check("keys come, go and change hands", [] {
+TEST_CASE(
+    "under frequent configuration changes a key is accepted exactly while it is known, for its "
+    "tenant") {
+  CHECK(rc::check("keys are added, removed and moved between tenants", [] {
     KeyedFixture world;
     std::map<std::string, std::string> keys{{"k1", "t1"}};
     std::uint64_t version = 2;
--- a/src/gateway/tests/engine_observer_test.cc
+++ b/src/gateway/tests/engine_observer_test.cc
@@ -1,5 +1,5 @@
-// What requests tell EngineObserver of engines, and what they leave out since it says nothing of
-// an engine's speed.
+// Tests for the observations that requests pass to EngineObserver, and for those left out because
+// they do not show the engine's speed.
 #include "gateway/engine_observer.h"
 
 #include <doctest/doctest.h>
@@ -18,7 +18,7 @@
 
 namespace {
 
-class KeptObservations final : public EngineObserver {
+class RecordingObserver final : public EngineObserver {
  public:
   std::optional<std::uint64_t> events_of(const BackendId& /*engine*/,
                                          std::uint64_t tokens) const override {
@@ -51,7 +51,7 @@
                                            {"x-ochrespring-token-counts", "200,120"}};
 
 struct ObservedGateway : GatewayFixture {
-  KeptObservations seen;
+  RecordingObserver seen;
   Gateway observed{observing(), [](auto done) { done(true); }};
 
   Environment observing() {
@@ -66,8 +66,8 @@
     observed.handle({"POST", path, "", std::move(headers), "body"}, caller);
     return caller;
   }
-  /// So many events, each after the gap.
-  void play(int events, Duration gap) {
+  /// Sends `events` events, each after `gap`.
+  void send_events(int events, Duration gap) {
     for (int i = 0; i != events; ++i) {
       advance(gap);
       last().observer->on_body("id: " + std::to_string(++event_) + "\ndata: a\n\n");
@@ -80,14 +80,15 @@
 
 }  // namespace
 
-TEST_CASE_FIXTURE(ObservedGateway, "a stream tells its gaps, its prefill and while it is long") {
+TEST_CASE_FIXTURE(ObservedGateway,
+                  "a stream reports its gaps, its prefill, and the time while it counts as long") {
   add_backend("e1", "llm", EngineRole::kDecode);
   const BackendId engine("e1");
   ask("/stream/x");
   advance(milliseconds(20));
   last().observer->on_head({200, {signature(), {names.load, "1,0,8,130"}}});
   CHECK(seen.paces == std::vector<std::uint32_t>{130});
-  play(9, milliseconds(40));
+  send_events(9, milliseconds(40));
   REQUIRE(seen.gaps.size() == 1);
   CHECK(seen.gaps[0].gaps == 8);
   CHECK(seen.gaps[0].took == milliseconds(320));
@@ -95,50 +96,51 @@
   CHECK(seen.prefills[0].took == milliseconds(60));
   CHECK(seen.prefills[0].tokens == 200);
   CHECK(seen.prefills[0].with_first_event);
-  CHECK(seen.long_streams[engine] == 0);  // 12 events are expected, 3 are to come.
+  CHECK(seen.long_streams[engine] == 0);  // 12 events are expected, 3 remain.
 }
 
-TEST_CASE_FIXTURE(ObservedGateway, "a stream that ends early is long no more") {
+TEST_CASE_FIXTURE(ObservedGateway, "a stream that ends early no longer counts as long") {
   add_backend("e1", "llm", EngineRole::kDecode);
   const auto caller = ask("/stream/x");
   last().observer->on_head({200, {signature()}});
-  play(2, milliseconds(40));
+  send_events(2, milliseconds(40));
   CHECK(seen.long_streams[BackendId("e1")] == 1);
   caller->leave();
   CHECK(seen.long_streams[BackendId("e1")] == 0);
 }
 
-TEST_CASE_FIXTURE(ObservedGateway, "the pause of a resumed stream is no gap of an engine") {
+TEST_CASE_FIXTURE(ObservedGateway,
+                  "the interruption of a resumed stream is not observed as a gap") {
   add_backend("e1", "llm", EngineRole::kDecode);
   add_backend("e2", "llm", EngineRole::kDecode);
   ask("/resumable/x");
   last().observer->on_head({200, {signature()}});
-  play(5, milliseconds(10));
+  send_events(5, milliseconds(10));
   last().fail(http::HttpErrc::kTruncated, true);
   REQUIRE(sends() == 2);
   last().observer->on_head({200, {signature()}});
   advance(milliseconds(150));
-  play(5, milliseconds(10));
+  send_events(5, milliseconds(10));
   CHECK(seen.gaps.empty());
-  play(4, milliseconds(10));
+  send_events(4, milliseconds(10));
   REQUIRE(seen.gaps.size() == 1);
   CHECK(seen.gaps[0].took == milliseconds(80));
 }
 
-TEST_CASE_FIXTURE(ObservedGateway, "gaps are not observed once the caller has not read") {
+TEST_CASE_FIXTURE(ObservedGateway, "gaps are not observed after the caller has stopped reading") {
   add_backend("e1", "llm", EngineRole::kDecode);
   const auto caller = ask("/stream/x");
   last().observer->on_head({200, {signature()}});
-  play(4, milliseconds(40));
+  send_events(4, milliseconds(40));
   caller->buffered = 1U << 20U;
-  play(1, milliseconds(40));
+  send_events(1, milliseconds(40));
   caller->buffered = 0;
-  play(30, milliseconds(0));
+  send_events(30, milliseconds(0));
   CHECK(seen.gaps.empty());
 }
 
 TEST_CASE_FIXTURE(ObservedGateway,
-                  "a prompt whose shared part the engine may keep tells nothing of prefill") {
+                  "prefill is not observed if the engine may have the shared part cached") {
   add_backend("p1", "llm", EngineRole::kPrefill);
   add_backend("d1", "llm", EngineRole::kDecode);
   const auto call = [&] {
@@ -151,7 +153,7 @@
   };
   call();
   CHECK(seen.prefills.empty());
-  // The shared part is known to be kept now.
+  // The shared part is now known to be cached.
   call();
   REQUIRE(seen.prefills.size() == 1);
   CHECK(seen.prefills[0].engine == BackendId("p1"));
--- a/src/gateway/tests/played_profiles.h
+++ b/src/gateway/tests/fake_profiles.h
@@ -1,4 +1,4 @@
-// Engine profiles that a test sets.
+// Engine profiles that are set by a test.
 #pragma once
 
 #include <map>
@@ -8,8 +8,8 @@
 
 namespace ochrespring::gateway::testing {
 
-/// Engines without a profile of their own have the usual one.
-class PlayedProfiles final : public EngineProfiles {
+/// Engines without an entry in `own_profiles` have `usual_profile`.
+class FakeProfiles final : public EngineProfiles {
  public:
   std::optional<EngineProfile> find(const Backend& engine, MonotonicTime now) const override {
     const auto own = own_profiles.find(engine.id);
@@ -19,7 +19,7 @@
                                      MonotonicTime /*now*/) const override {
     return usual_profile;
   }
-  /// For a part of the time work takes `disturbed_factor` times as long as usual.
+  /// Work takes `disturbed_factor` times its normal duration for `disturbed_share` of the time.
   double share_slower_than(const ServiceName& /*service*/, double factor,
                            MonotonicTime /*now*/) const override {
     return factor < 1 ? 1 : (factor < disturbed_factor ? disturbed_share : 0);
--- a/src/gateway/tests/pause_forecast_test.cc
+++ b/src/gateway/tests/gap_forecast_test.cc
@@ -1,18 +1,18 @@
-// Streams ran late on engines that were slow, disturbed, or read prompts beside them, though their
-// first events came early.
-#include "gateway/pause_forecast.h"
+// Guards against late streams whose first event is early: placement has to avoid engines that are
+// slow, disturbed, or prefill prompts beside their streams.
+#include "gateway/gap_forecast.h"
 
 #include <doctest/doctest.h>
 
 #include <chrono>
 
 #include "gateway/placement.h"
-#include "tests/played_profiles.h"
+#include "tests/fake_profiles.h"
 
 using namespace ochrespring;
 using namespace ochrespring::gateway;
 using namespace std::chrono_literals;
-using gateway::testing::PlayedProfiles;
+using gateway::testing::FakeProfiles;
 
 namespace {
 
@@ -23,34 +23,34 @@
   return {.output_token = output_token, .prompt_token = prompt_token, .long_streams = long_streams};
 }
 
-/// An event of a usual engine takes 40 ms, and 10,000 tokens are read beside in 50 ms.
-const EngineProfile kUsual = make_profile(533us, 2500ns);
+/// A typical engine takes 40 ms per event, and 50 ms to prefill 10,000 tokens beside its streams.
+const EngineProfile kTypical = make_profile(533us, 2500ns);
 const EngineProfile kSlow = make_profile(1200us, 5600ns);
 
-StreamNeeds long_stream() {
+StreamRequirements long_stream() {
   return {.target_gap = 150ms,
-          .shortest_gap = 150ms,
+          .min_target_gap = 150ms,
           .time_left = 15s,
           .tokens_per_event = 75,
           .expected_events = 72,
-          .most_events = 170};
+          .max_events = 170};
 }
 
-StreamNeeds short_stream() {
-  StreamNeeds needs = long_stream();
+StreamRequirements short_stream() {
+  StreamRequirements needs = long_stream();
   needs.expected_events = 2;
-  needs.most_events = 6;
+  needs.max_events = 6;
   needs.time_left = 2s;
   return needs;
 }
 
 struct World {
   World() {
-    profiles.usual_profile = kUsual;
+    profiles.usual_profile = kTypical;
     profiles.disturbed_share = 0.15;
     profiles.disturbed_factor = 2.5;
   }
-  PauseForecast forecast(const EngineProfile& profile, const ReportedPace& pace = {}) const {
+  GapForecast forecast(const EngineProfile& profile, const ReportedPace& pace = {}) const {
     return {profiles, {.service = kService, .profile = profile, .pace = pace}, 75, {}};
   }
   void put(const std::string& id, const EngineProfile& profile) {
@@ -62,7 +62,7 @@
     fleet.put(engine);
     profiles.own_profiles[engine.id] = profile;
   }
-  std::string choose(const StreamNeeds& needs, std::uint64_t tokens) {
+  std::string choose(const StreamRequirements& needs, std::uint64_t tokens) {
     const Prompt prompt = parse_prompt("own:" + std::to_string(tokens), "");
     const Placement placement(fleet, loads, random, ZoneName("z"), &profiles);
     PlacementRequest request;
@@ -72,7 +72,7 @@
     return placement.choose(request, {}).runner.backend->id.value();
   }
 
-  PlayedProfiles profiles;
+  FakeProfiles profiles;
   FleetState fleet;
   LoadTable loads;
   SeededRandom random{7};
@@ -81,65 +81,67 @@
 }  // namespace
 
 TEST_CASE(
-    "a slow engine that is disturbed now and then makes long streams late, a usual one none") {
+    "long streams are predicted late on a slow engine with occasional disturbances, not on a "
+    "typical one") {
   const World world;
-  CHECK(world.forecast(kUsual).late_stream(long_stream(), 0) == 0);
-  CHECK(world.forecast(kSlow).late_stream(long_stream(), 0) > 0.9);
-  CHECK(world.forecast(kSlow).late_stream(short_stream(), 0) < 0.3);
+  CHECK(world.forecast(kTypical).late_stream_probability(long_stream(), 0) == 0);
+  CHECK(world.forecast(kSlow).late_stream_probability(long_stream(), 0) > 0.9);
+  CHECK(world.forecast(kSlow).late_stream_probability(short_stream(), 0) < 0.3);
 }
 
-TEST_CASE("prompts that are read beside make the next pause late, sooner while disturbed") {
+TEST_CASE(
+    "prefill work makes the next gap late, and less of it suffices while the engine is disturbed") {
   const World world;
   const ReportedPace disturbed{.factor = 2.5, .weight = 1};
   const ReportedPace usual{.factor = 1, .weight = 1};
-  CHECK(world.forecast(kUsual, usual).late_pause(150ms, 10'000) == 0);
-  CHECK(world.forecast(kUsual, usual).late_pause(150ms, 30'000) == 1);
-  CHECK(world.forecast(kUsual, disturbed).late_pause(150ms, 0) == 0);
-  CHECK(world.forecast(kUsual, disturbed).late_pause(150ms, 10'000) == 1);
-  // Nothing is known of now: what holds for all time.
-  CHECK(world.forecast(kUsual).late_pause(150ms, 10'000) == doctest::Approx(0.15));
+  CHECK(world.forecast(kTypical, usual).late_gap_probability(150ms, 10'000) == 0);
+  CHECK(world.forecast(kTypical, usual).late_gap_probability(150ms, 30'000) == 1);
+  CHECK(world.forecast(kTypical, disturbed).late_gap_probability(150ms, 0) == 0);
+  CHECK(world.forecast(kTypical, disturbed).late_gap_probability(150ms, 10'000) == 1);
+  // Without a current pace report the long-term share applies.
+  CHECK(world.forecast(kTypical).late_gap_probability(150ms, 10'000) == doctest::Approx(0.15));
 }
 
-TEST_CASE("a stream that is not expected to end in time is told from one that is") {
+TEST_CASE("the probability of a missed deadline depends on the expected events and the time left") {
   const World world;
-  CHECK(world.forecast(kUsual).unfinished_stream(long_stream()) == 0);
-  StreamNeeds longest = long_stream();
+  CHECK(world.forecast(kTypical).missed_deadline_probability(long_stream()) == 0);
+  StreamRequirements longest = long_stream();
   longest.expected_events = 170;
-  CHECK(world.forecast(kSlow).unfinished_stream(longest) > 0.4);
+  CHECK(world.forecast(kSlow).missed_deadline_probability(longest) > 0.4);
   longest.time_left = -1s;
-  CHECK(world.forecast(kSlow).unfinished_stream(longest) == doctest::Approx(1));
+  CHECK(world.forecast(kSlow).missed_deadline_probability(longest) == doctest::Approx(1));
 }
 
-TEST_CASE("long streams go to engines where they stay in time, short ones need not") {
+TEST_CASE("long streams go to engines that keep their target gap, short streams to any") {
   World world;
   world.put("slow", kSlow);
-  world.put("usual", kUsual);
+  world.put("usual", kTypical);
   world.loads.begin(BackendId("usual"), 4'000);
   CHECK(world.choose(long_stream(), 200) == "usual");
   CHECK(world.choose(short_stream(), 200) == "slow");
 }
 
-TEST_CASE("short streams leave the last slots to long ones where few engines keep these in time") {
+TEST_CASE("short streams leave scarce slots to long streams if few engines suit these") {
   World world;
   world.put("slow", kSlow);
-  world.put("usual", kUsual);
+  world.put("usual", kTypical);
   CHECK(world.choose(short_stream(), 200) == "usual");
   for (std::uint32_t i = 0; i != 4; ++i) {
     world.loads.begin(BackendId("usual"), 0);
   }
   CHECK(world.choose(short_stream(), 200) == "slow");
   CHECK(world.choose(long_stream(), 200) == "usual");
-  world.profiles.own_profiles[BackendId("slow")] = kUsual;
+  world.profiles.own_profiles[BackendId("slow")] = kTypical;
   for (std::uint32_t i = 0; i != 5; ++i) {
     world.loads.begin(BackendId("slow"), 0);
   }
   CHECK(world.choose(short_stream(), 200) == "usual");
 }
 
-TEST_CASE("a long prompt goes where it pushes no stream over its gap") {
+TEST_CASE("a long prompt goes to an engine where its prefill makes no stream late") {
   World world;
-  world.put("streams", make_profile(kUsual.output_token, kUsual.prompt_token, 3));
-  world.put("busy", kUsual);
+  world.put("streams", make_profile(kTypical.output_token, kTypical.prompt_token, 3));
+  world.put("busy", kTypical);
   BackendLoad& streams = world.loads.of(BackendId("streams"));
   streams.note_report({.running = 3, .slots = 6, .pace_percent = 250}, {});
   for (std::uint32_t i = 0; i != 3; ++i) {
@@ -150,10 +152,10 @@
   CHECK(world.choose(short_stream(), 9'000) == "streams");
 }
 
-TEST_CASE("an engine whose slots are all taken by long streams is left to others") {
+TEST_CASE("an engine whose slots are all occupied by long streams is not chosen") {
   World world;
-  world.put("full", make_profile(kUsual.output_token, kUsual.prompt_token, 6));
-  world.put("reading", kUsual);
+  world.put("full", make_profile(kTypical.output_token, kTypical.prompt_token, 6));
+  world.put("reading", kTypical);
   for (std::uint32_t i = 0; i != 6; ++i) {
     world.loads.begin(BackendId("full"), 0);
   }
@@ -161,14 +163,14 @@
   CHECK(world.choose(short_stream(), 200) == "reading");
 }
 
-TEST_CASE("without profiles, and where gaps are far off, the choice is the one of tokens alone") {
+TEST_CASE("without profiles, or with generous target gaps, only tokens decide the placement") {
   World world;
   world.put("a", kSlow);
-  world.put("b", kUsual);
+  world.put("b", kTypical);
   world.loads.begin(BackendId("b"), 0);
-  StreamNeeds easy = long_stream();
+  StreamRequirements easy = long_stream();
   easy.target_gap = 10s;
-  easy.shortest_gap = 10s;
+  easy.min_target_gap = 10s;
   easy.time_left = 100s;
   CHECK(world.choose(long_stream(), 200) == "b");
   CHECK(world.choose(easy, 200) == "a");
--- a/src/gateway/tests/gateway_fixture.h
+++ b/src/gateway/tests/gateway_fixture.h
@@ -191,7 +191,7 @@
     route.timeout = std::chrono::milliseconds(2000);
     route.target_latency = std::chrono::milliseconds(100);
     route.target_gap = std::chrono::milliseconds(300);
-    route.most_attempts = attempts;
+    route.max_attempts = attempts;
     route.resumable = resumable;
     route.shares = {{ServiceName(std::move(service)), 1}};
     return route;
--- a/src/gateway/tests/large_placement_test.cc
+++ b/src/gateway/tests/large_placement_test.cc
@@ -1,4 +1,4 @@
-// Placement among thousands of engines that are mostly idle.
+// Tests for placement among thousands of mostly idle engines.
 #include <doctest/doctest.h>
 
 #include <chrono>
@@ -17,7 +17,7 @@
 
 constexpr int kEngines = 2000;
 
-/// One node before many engines, two fifths of which read prompts for others.
+/// One node with many engines, two fifths of which are prefill engines.
 struct LargePlacement {
   explicit LargePlacement(std::uint64_t seed = 1) : random(seed) {
     for (int i = 0; i != kEngines; ++i) {
@@ -31,7 +31,7 @@
     }
   }
 
-  /// A shared part and the request's own.
+  /// A prompt with a shared part and an own part.
   static Prompt make_prompt(const std::string& part, std::uint64_t shared = 13'300) {
     return parse_prompt(part + ":" + std::to_string(shared) + ",own:3700",
                         std::to_string(shared + 3'700) + ",10");
@@ -52,57 +52,59 @@
 
 }  // namespace
 
-TEST_CASE("nodes that have heard nothing of each other read a part at the same engine") {
+TEST_CASE(
+    "nodes that have received nothing from each other choose the same engine for the prefill of a "
+    "part") {
   const LargePlacement one(1);
   const LargePlacement other(2);
   for (int part = 0; part != 50; ++part) {
     const Prompt prompt = LargePlacement::make_prompt("p" + std::to_string(part));
     const PlacementPlan here = one.choose(prompt);
     const PlacementPlan there = other.choose(prompt);
-    REQUIRE(here.reader.backend != nullptr);
-    REQUIRE(there.reader.backend != nullptr);
-    CHECK(here.reader.backend->id == there.reader.backend->id);
+    REQUIRE(here.prefill.backend != nullptr);
+    REQUIRE(there.prefill.backend != nullptr);
+    CHECK(here.prefill.backend->id == there.prefill.backend->id);
   }
 }
 
-// Callers got the first token of a cold prompt of 17,000 tokens after 0.9 to 1 s, over their
-// objective: thousands of prefill engines were idle, and an engine that decodes read it at half the
-// pace.
-TEST_CASE("while prefill engines are idle they read what is cold") {
+// Guards against a slow first token of cold prompts: a prompt of 17,000 tokens took 0.9 to 1 s,
+// over the latency objective, because an engine that decodes prefilled it at half the speed while
+// thousands of prefill engines were idle.
+TEST_CASE("idle prefill engines prefill cold prompts") {
   const LargePlacement fleet;
-  CHECK(fleet.choose(LargePlacement::make_prompt("cold")).reader.backend != nullptr);
-  CHECK(fleet.choose(LargePlacement::make_prompt("long", 30'000)).reader.backend != nullptr);
+  CHECK(fleet.choose(LargePlacement::make_prompt("cold")).prefill.backend != nullptr);
+  CHECK(fleet.choose(LargePlacement::make_prompt("long", 30'000)).prefill.backend != nullptr);
 }
 
-TEST_CASE("a prompt goes to the engine that keeps it, though that was long ago") {
+TEST_CASE("a prompt goes to the engine that has it cached, even long after its last use") {
   LargePlacement fleet;
-  const BackendId keeper("i-777");
+  const BackendId holder("i-777");
   const Prompt prompt = LargePlacement::make_prompt("kept");
-  fleet.loads.note_prompt(keeper, prompt, fleet.now);
+  fleet.loads.note_prompt(holder, prompt, fleet.now);
   for (const Duration later : {Duration(2s), Duration(30s), Duration(60s)}) {
     fleet.now += later;
     const PlacementPlan plan = fleet.choose(prompt);
-    CHECK(plan.reader.backend == nullptr);
-    CHECK(plan.runner.backend->id == keeper);
+    CHECK(plan.prefill.backend == nullptr);
+    CHECK(plan.runner.backend->id == holder);
   }
-  // Eleven others have been read there since: it may have had to give way.
+  // Eleven other parts have been prefilled there since: it may have been evicted.
   for (int other = 0; other != 11; ++other) {
-    fleet.loads.note_prompt(keeper, LargePlacement::make_prompt("o" + std::to_string(other)),
+    fleet.loads.note_prompt(holder, LargePlacement::make_prompt("o" + std::to_string(other)),
                             fleet.now);
   }
   fleet.now += 12s;
-  CHECK(fleet.choose(prompt).runner.backend->id != keeper);
+  CHECK(fleet.choose(prompt).runner.backend->id != holder);
 }
 
-TEST_CASE("an engine that keeps a prompt and is at work on many others is passed over") {
+TEST_CASE("an engine that has a prompt cached but is busy with many others is not chosen") {
   LargePlacement fleet;
-  const BackendId keeper("i-777");
+  const BackendId holder("i-777");
   const Prompt prompt = LargePlacement::make_prompt("kept");
-  fleet.loads.note_prompt(keeper, prompt, fleet.now);
+  fleet.loads.note_prompt(holder, prompt, fleet.now);
   for (int other = 0; other != 12; ++other) {
-    fleet.loads.begin(keeper, 9'000);
+    fleet.loads.begin(holder, 9'000);
   }
-  CHECK(fleet.choose(prompt).runner.backend->id != keeper);
+  CHECK(fleet.choose(prompt).runner.backend->id != holder);
 }
 
 TEST_CASE("a burst of prompts without shared parts is spread over idle engines") {
@@ -112,7 +114,7 @@
     const Prompt prompt = parse_prompt("own" + std::to_string(i) + ":4000", "4000,10");
     const PlacementPlan plan = fleet.choose(prompt);
     const Backend* first =
-        plan.reader.backend != nullptr ? plan.reader.backend : plan.runner.backend;
+        plan.prefill.backend != nullptr ? plan.prefill.backend : plan.runner.backend;
     fleet.loads.begin(first->id, 4'000);
     ++sent[first->id];
   }
@@ -121,7 +123,7 @@
   }
 }
 
-TEST_CASE("with nearly all engines draining the few others are found") {
+TEST_CASE("the few remaining engines are found while nearly all are draining") {
   LargePlacement fleet;
   for (int i = 0; i != kEngines; ++i) {
     Backend backend = *fleet.fleet.find(BackendId("i-" + std::to_string(i)));
@@ -133,15 +135,15 @@
   CHECK(plan.runner.backend->id == BackendId("i-4"));
 }
 
-TEST_CASE("where all are left alone for now, one of them is taken all the same") {
+TEST_CASE("if all engines are ejected, one of them is chosen anyway") {
   LargePlacement fleet;
   for (int i = 0; i != kEngines; ++i) {
-    fleet.loads.of(BackendId("i-" + std::to_string(i))).note_silence(fleet.now);
+    fleet.loads.of(BackendId("i-" + std::to_string(i))).note_unresponsive(fleet.now);
   }
   CHECK(fleet.choose(LargePlacement::make_prompt("any")).runner.backend != nullptr);
 }
 
-TEST_CASE("the index of parts forgets what engines have") {
+TEST_CASE("the index of cached parts drops parts that engines have evicted") {
   LoadTable loads;
   SeededRandom random{3};
   MonotonicTime now{1h};
--- a/src/gateway/tests/placement_benchmark.cc
+++ b/src/gateway/tests/placement_benchmark.cc
@@ -1,9 +1,10 @@
-// What it costs to place one request, by the number of engines. Half of the prompts are kept
-// somewhere.
+// Measures the time to place one request, by the number of engines. Half of the prompts are cached
+// at some engine.
 //
-// At 100, 1,000, 10,000 and 20,000 engines: 68, 32, 31 and 59 us (release build, one core of a
-// virtual machine at 2 GHz, one run). While each request walked all engines: 62, 835, 8,170 and
-// 16,440 us; on a machine with 0.12 of a core the third of these is 68 ms, for each of two choices.
+// At 100, 1,000, 10,000 and 20,000 engines a placement takes 68, 32, 31 and 59 us (release build,
+// one core of a virtual machine at 2 GHz, one run). A full scan for each request took 62, 835,
+// 8,170 and 16,440 us; on a machine with 0.12 of a core the third of these is 68 ms, for each of
+// two placements.
 #include <benchmark/benchmark.h>
 
 #include <chrono>
--- a/src/gateway/tests/policies_test.cc
+++ b/src/gateway/tests/policies_test.cc
@@ -1,4 +1,4 @@
-// The gateway's pure parts.
+// Tests for routing, load tracking, placement and other parts of the gateway that do no I/O.
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
@@ -44,7 +44,8 @@
 
 }  // namespace
 
-TEST_CASE("the longest prefix of the host wins; a port and letter case do not matter") {
+TEST_CASE(
+    "a route is found by the longest path prefix of its host, ignoring the port and letter case") {
   Configuration configuration;
   configuration.routes = {make_route("short", "a.example", "/x/"),
                           make_route("long", "a.example", "/x/y/"),
@@ -57,7 +58,7 @@
   CHECK(table.find("c.example", "/x/") == nullptr);
 }
 
-TEST_CASE("a configuration never goes back") {
+TEST_CASE("a configuration is applied only if its version is newer") {
   FleetState fleet;
   Configuration newer;
   newer.version = ConfigurationVersion(7);
@@ -69,7 +70,7 @@
   CHECK(fleet.routes()->configuration().version == ConfigurationVersion(7));
 }
 
-TEST_CASE("a listing forgets the back ends that it lacks and says which") {
+TEST_CASE("replacing the back ends removes and reports those that are not listed") {
   FleetState fleet;
   std::vector<std::string> removed;
   fleet.on_removed([&](const Backend& backend) { removed.push_back(backend.id.value()); });
@@ -80,7 +81,7 @@
   CHECK(fleet.find(BackendId("b")) != nullptr);
 }
 
-TEST_CASE("events come out the same however the stream is cut into pieces") {
+TEST_CASE("events are the same for any division of the stream into chunks") {
   CHECK(rc::check([](const std::vector<std::uint8_t>& sizes) {
     const std::string stream = "id: 1\ndata: a\n\nid:2\r\ndata: b\r\n\r\n: note\n\nid: 30\n\nrest";
     EventSplitter whole;
@@ -110,7 +111,7 @@
   }));
 }
 
-TEST_CASE("the longest pause of a stream is that between two events, not the wait for the first") {
+TEST_CASE("the longest gap of a stream is between two events and excludes the wait for the first") {
   StreamTiming timing;
   CHECK_FALSE(timing.last_event());
   const MonotonicTime start{};
@@ -124,7 +125,8 @@
   CHECK(timing.last_event() == start + 1110ms);
 }
 
-TEST_CASE("event ids are read in any spelling, and their absence is seen") {
+TEST_CASE(
+    "event ids are parsed with or without a space, and missing or malformed ids are detected") {
   EventSplitter splitter;
   splitter.append("id: 12\ndata: x\n\nid:7\n\ndata: y\n\nid: z\n\n");
   CHECK(splitter.next()->id == 12);
@@ -133,7 +135,7 @@
   CHECK_FALSE(splitter.next()->id);
 }
 
-TEST_CASE("a prompt's parts, its shared key and its own tokens") {
+TEST_CASE("a prompt is parsed into its parts, shared key, own tokens and output estimate") {
   const Prompt prompt = parse_prompt("5c1e:800, 91bd:410,e440:250", "1460,80");
   CHECK(prompt.parts.size() == 3);
   CHECK(prompt.shared_key() == "91bd");
@@ -148,8 +150,7 @@
   CHECK(parse_prompt("a:5", "5,80", "many").expected_output_tokens == 80);
 }
 
-TEST_CASE(
-    "all nodes together stay inside the retry budget in every window, and when they restart") {
+TEST_CASE("all nodes together stay within the retry budget in every window, also across restarts") {
   CHECK(rc::check([](std::vector<std::pair<std::uint8_t, std::uint8_t>> steps) {
     constexpr std::uint32_t kNodes = 3;
     const RetryBudgetSettings settings{0.2, 9, 10s};
@@ -180,7 +181,7 @@
   }));
 }
 
-TEST_CASE("shares follow the weights within one request in each run of requests") {
+TEST_CASE("the shares of services follow their weights closely") {
   SeededRandom random(3);
   SharePicker picker(random);
   Route route = make_route("r", "h", "/");
@@ -192,7 +193,7 @@
   CHECK(std::abs(to_b - 30) <= 2);
 }
 
-TEST_CASE("a back end that says that work takes longer now is a worse choice until that is old") {
+TEST_CASE("a back end that reports a slow pace is avoided until the report is old") {
   CHECK(parse_load("1,0,8")->pace_percent == 100);
   CHECK(parse_load("1,0,8,250")->pace_percent == 250);
   CHECK(parse_load("1,0,8,x")->pace_percent == 100);
@@ -217,7 +218,7 @@
   CHECK(to_a > 5);
 }
 
-TEST_CASE("load reports are read and fade, own requests do not") {
+TEST_CASE("load reports are parsed and lose weight over time, own requests do not") {
   CHECK_FALSE(parse_load("3,x,8"));
   CHECK_FALSE(parse_load(""));
   const auto report = parse_load("10, 4, 8");
@@ -229,26 +230,26 @@
   CHECK(load.reported_others(start) == doctest::Approx(13));
   CHECK(load.reported_others(start + 10s) == doctest::Approx(0).epsilon(0.01));
   CHECK(load.in_flight() == 1);
-  load.note_read(100);
-  load.end(AttemptVerdict::kGood, start);
+  load.note_prefilled(100);
+  load.end(AttemptOutcome::kSucceeded, start);
   CHECK(load.in_flight() == 0);
-  CHECK(load.unread_tokens() == 0);
+  CHECK(load.pending_prefill_tokens() == 0);
 }
 
-TEST_CASE("an unreachable back end is left alone for longer each time, and comes back") {
+TEST_CASE("an unreachable back end is ejected for longer each time and becomes available again") {
   BackendLoad load;
   MonotonicTime now{};
   load.begin(0);
-  load.end(AttemptVerdict::kUnreachable, now);
+  load.end(AttemptOutcome::kUnreachable, now);
   CHECK(load.ejected(now + 900ms));
   CHECK_FALSE(load.ejected(now + 1100ms));
   now += 2s;
   load.begin(0);
-  load.end(AttemptVerdict::kUnreachable, now);
+  load.end(AttemptOutcome::kUnreachable, now);
   CHECK(load.ejected(now + 1900ms));
 }
 
-TEST_CASE("all nodes agree on the home of a shared part, and leave it when it is far behind") {
+TEST_CASE("all nodes agree on the home of a shared part and avoid it when it is overloaded") {
   FleetState fleet;
   for (const char* id : {"a", "b", "c", "d"}) {
     fleet.put(make_engine(id, EngineRole::kDecode));
@@ -272,8 +273,7 @@
   CHECK(placement.choose(request, {}).runner.backend->id.value() != *homes.begin());
 }
 
-TEST_CASE(
-    "a node that starts asks each engine once what it keeps, and places prompts accordingly") {
+TEST_CASE("a starting node queries each engine once for its cached parts and records them") {
   simulation::VirtualTime time;
   FleetState fleet;
   LoadTable loads;
@@ -301,7 +301,7 @@
   CHECK_FALSE(loads.of(BackendId("a")).holds(stable_hash("k1"), time.now()));
 }
 
-TEST_CASE("a shared part is fetched from an engine that surely keeps it") {
+TEST_CASE("a shared part is fetched from an engine that certainly has it cached") {
   FleetState fleet;
   for (const char* id : {"near", "far", "reader"}) {
     Backend engine = make_engine(id, EngineRole::kDecode);
@@ -314,36 +314,36 @@
   const MonotonicTime start{};
   LoadTable loads;
   loads.note_prompt(BackendId("near"), prompt, start);
-  SUBCASE("not while it may still be reading the part") {
+  SUBCASE("not while its prefill may still be running") {
     CHECK(CacheSources(fleet, loads, service, prompt, start + 100ms).best_for(reader) == nullptr);
   }
-  SUBCASE("the one in the same zone, even if another has used it later") {
+  SUBCASE("from the same zone, even if another engine used the part later") {
     loads.note_prompt(BackendId("far"), prompt, start + 100ms);
     const CacheSources sources(fleet, loads, service, prompt, start + 2s);
     REQUIRE(sources.best_for(reader) != nullptr);
     CHECK(sources.best_for(reader)->id.value() == "near");
     CHECK(sources.tokens_for(reader) == 9000);
   }
-  SUBCASE("never from itself") {
+  SUBCASE("never from the engine itself") {
     const CacheSources sources(fleet, loads, service, prompt, start + 2s);
     CHECK(sources.best_for(*fleet.find(BackendId("near"))) == nullptr);
     CHECK(sources.tokens_for(*fleet.find(BackendId("near"))) == 0);
   }
-  SUBCASE("not from a silent engine, nor long after the last use") {
+  SUBCASE("not from an unresponsive engine, nor long after the last use") {
     CHECK(CacheSources(fleet, loads, service, prompt, start + 121s).best_for(reader) == nullptr);
-    // Sooner where enough others have been read there that it may have had to give way.
+    // Earlier if enough other parts have been prefilled there that it may have been evicted.
     for (std::uint64_t other = 0; other != 11; ++other) {
       for (const char* engine : {"near", "far"}) {
         loads.note_cached(BackendId(engine), other, start + 2s);
       }
     }
     CHECK(CacheSources(fleet, loads, service, prompt, start + 60s).best_for(reader) == nullptr);
-    loads.note_silence(BackendId("near"), start + 2s);
+    loads.note_unresponsive(BackendId("near"), start + 2s);
     CHECK(CacheSources(fleet, loads, service, prompt, start + 2s).best_for(reader) == nullptr);
   }
 }
 
-TEST_CASE("with its home busy a prompt goes elsewhere and brings its shared part along") {
+TEST_CASE("a prompt whose home is busy goes to another engine, which fetches the shared part") {
   FleetState fleet;
   for (const char* id : {"a", "b"}) {
     fleet.put(make_engine(id, EngineRole::kDecode));
@@ -362,10 +362,10 @@
   CHECK(plan.runner.backend->id.value() == "b");
   REQUIRE(plan.runner.cache_source != nullptr);
   CHECK(plan.runner.cache_source->id.value() == "a");
-  CHECK(plan.runner.unread_tokens == 500);
+  CHECK(plan.runner.prefill_tokens == 500);
 }
 
-TEST_CASE("of engines alike, one that is connected already is taken") {
+TEST_CASE("among equal engines, one with an open connection is chosen") {
   FleetState fleet;
   for (const char* id : {"a", "b", "c", "d"}) {
     fleet.put(make_engine(id, EngineRole::kDecode));
@@ -383,7 +383,7 @@
   CHECK(placement.choose(request, {}).runner.backend->id.value() != "c");
 }
 
-TEST_CASE("a prompt is run in the zone of the engine that read it") {
+TEST_CASE("a prompt runs in the zone of the engine that prefilled it") {
   FleetState fleet;
   for (const char* id : {"p", "d-near", "d-far"}) {
     Backend engine = make_engine(id, *id == 'p' ? EngineRole::kPrefill : EngineRole::kDecode);
@@ -400,12 +400,12 @@
     SeededRandom random(seed);
     const Placement placement(fleet, loads, random, ZoneName("other"));
     const PlacementPlan plan = placement.choose(request, {});
-    REQUIRE(plan.reader.backend != nullptr);
+    REQUIRE(plan.prefill.backend != nullptr);
     CHECK(plan.runner.backend->id.value() == "d-near");
   }
 }
 
-TEST_CASE("nodes that start together ask each engine once, and announce what it keeps") {
+TEST_CASE("nodes that start together query each engine once and announce its cached parts") {
   simulation::VirtualTime time;
   FleetState fleet;
   for (int i = 0; i != 40; ++i) {
@@ -434,8 +434,7 @@
   CHECK(announced == 40);
 }
 
-TEST_CASE(
-    "a back end that fails the others is avoided before it fails this node, and tried again") {
+TEST_CASE("a back end that fails for other nodes is avoided, and used again later") {
   FleetState fleet;
   for (const char* id : {"a", "b"}) {
     fleet.put(make_engine(id, EngineRole::kDecode));
@@ -448,7 +447,7 @@
   LoadTable loads;
   const MonotonicTime now = MonotonicTime() + 10s;
   for (int i = 0; i != 200; ++i) {
-    loads.of(BackendId("a")).note_told_ends(2, 2, now);
+    loads.of(BackendId("a")).note_peer_outcomes(2, 2, now);
   }
   loads.of(BackendId("b")).begin(5'000);
   const Placement placement(fleet, loads, random, ZoneName("z"));
@@ -457,7 +456,7 @@
   CHECK(loads.of(BackendId("a")).failure_share(now + 15s) < 0.2);
 }
 
-TEST_CASE("a cold back end is spared while warm ones are as idle") {
+TEST_CASE("a cold back end is not chosen while a warm one is equally idle") {
   FleetState fleet;
   for (const char* id : {"a", "b"}) {
     Backend backend = make_engine(id, EngineRole::kNone);
@@ -472,32 +471,34 @@
   CHECK(placement.choose(request, {}).runner.backend->id.value() == "b");
 }
 
-TEST_CASE("what another node tells of a silent back end counts unless it has just answered here") {
+TEST_CASE(
+    "another node's report of an unresponsive back end counts unless the back end has just "
+    "answered this node") {
   const MonotonicTime now = MonotonicTime() + 10s;
   BackendLoad unknown;
-  unknown.note_told_silence(now);
+  unknown.note_peer_unresponsive(now);
   CHECK(unknown.ejected(now + 900ms));
   CHECK_FALSE(unknown.ejected(now + 1100ms));
   BackendLoad answering;
   answering.begin(0);
-  answering.end(AttemptVerdict::kGood, now - 100ms);
-  answering.note_told_silence(now);
+  answering.end(AttemptOutcome::kSucceeded, now - 100ms);
+  answering.note_peer_unresponsive(now);
   CHECK_FALSE(answering.ejected(now + 100ms));
 }
 
-TEST_CASE("a back end that has gone is not remembered by what still ends there") {
+TEST_CASE("attempts that end at a forgotten back end do not add it again") {
   LoadTable loads;
   const BackendId id("e");
   loads.begin(id, 10);
   loads.forget(id);
   loads.note_report(id, {1, 1, 1}, {});
-  loads.note_read(id, 10);
-  loads.note_silence(id, {});
-  loads.end(id, AttemptVerdict::kGood, {});
+  loads.note_prefilled(id, 10);
+  loads.note_unresponsive(id, {});
+  loads.end(id, AttemptOutcome::kSucceeded, {});
   CHECK(loads.find(id) == nullptr);
 }
 
-TEST_CASE("prompt parts that are no longer believed cached do not pile up") {
+TEST_CASE("prompt parts that are no longer assumed to be cached are pruned") {
   BackendLoad load;
   MonotonicTime now{};
   for (std::uint64_t key = 0; key != 100'000; ++key) {
--- a/src/gateway/tests/rate_limit_header_test.cc
+++ b/src/gateway/tests/rate_limit_header_test.cc
@@ -1,4 +1,4 @@
-// What is read of a back end's rate limit, and what is not.
+// Tests for parsing a back end's rate limit.
 #include "gateway/rate_limit_header.h"
 
 #include <doctest/doctest.h>
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-TEST_CASE("decimal numbers are rates, rounded down to thousandths") {
+TEST_CASE("decimal numbers are parsed as rates, rounded down to thousandths") {
   struct Row {
     const char* text;
     std::uint64_t thousandths;
@@ -40,7 +40,7 @@
   }
 }
 
-TEST_CASE("what is no decimal number is no rate") {
+TEST_CASE("anything but a decimal number is rejected") {
   for (const char* text :
        {"", " ", "-1", "+1", "nan", "inf", "1e9", "1,3", ".5", "5.", "1.2.3", "0x10", "1 ", " 1",
         "1/s", "1234567890123456789012345678901234567890", "0.1234567890123"}) {
@@ -49,7 +49,7 @@
   }
 }
 
-TEST_CASE("of several headers the lowest that can be read counts") {
+TEST_CASE("of several headers the lowest valid rate applies") {
   CHECK(read({}).kind == Kind::kNone);
   CHECK(read({"1.5"}).rate.thousandths == 1500);
   CHECK(read({"3", "1.5", "2"}).rate.thousandths == 1500);
@@ -59,7 +59,7 @@
   CHECK(read({""}).kind == Kind::kUnreadable);
 }
 
-TEST_CASE("whatever a header holds, a rate that is read is never above the number") {
+TEST_CASE("the parsed rate is never above the number, for any header value") {
   CHECK(rc::check([](const std::string& text) { parse_rate(text); }));
   CHECK(rc::check([](std::uint32_t whole, std::uint16_t fraction) {
     const std::string text = std::to_string(whole % 1000000000U) + "." + std::to_string(fraction);
--- a/src/gateway/tests/stream_backup_test.cc
+++ b/src/gateway/tests/stream_backup_test.cc
@@ -62,10 +62,10 @@
   CHECK_FALSE(wants_backup(stream, &shape, &brief, "r1", true));
   Route resumable = stream;
   resumable.resumable = true;
-  resumable.most_attempts = 2;
+  resumable.max_attempts = 2;
   CHECK(wants_backup(resumable, &shape, &lengthy, "r1", true));
   CHECK_FALSE(wants_backup(resumable, &shape, &lengthy, "r1", false));
-  resumable.most_attempts = 1;
+  resumable.max_attempts = 1;
   CHECK(wants_backup(resumable, &shape, &lengthy, "r1", false));
   CHECK_FALSE(wants_backup(stream, &shape, &lengthy, "", true));
   CHECK_FALSE(wants_backup(stream, &shape, nullptr, "r1", true));
@@ -89,10 +89,10 @@
     fleet.note_leaving(BackendId("near"));
   }
   SUBCASE("ejected") {
-    loads.of(BackendId("near")).note_silence(now);
+    loads.of(BackendId("near")).note_unresponsive(now);
   }
   SUBCASE("replaced") {
-    loads.of(BackendId("near")).end(AttemptVerdict::kReplaced, now);
+    loads.of(BackendId("near")).end(AttemptOutcome::kReplaced, now);
   }
   SUBCASE("without room") {
     gate.full.insert(BackendId("near"));
@@ -172,7 +172,7 @@
   StreamBackup backup = begun();
   CHECK(backup.source().runner == Endpoint("run:1"));
   backup.note_event({"id: 1\n\n", 1});
-  loads.of(BackendId("copy")).end(AttemptVerdict::kReplaced, now);
+  loads.of(BackendId("copy")).end(AttemptOutcome::kReplaced, now);
   CHECK(backup.obstacle({}, now) == BackupObstacle::kGone);
   backup.note_used();
   CHECK(backup.obstacle({}, now) == BackupObstacle::kUsed);
--- a/src/gateway/types.h
+++ b/src/gateway/types.h
@@ -1,4 +1,4 @@
-// What operators configure for the gateway, and the back ends it knows.
+// The gateway's configuration, as set by operators, and the registration of back ends.
 #pragma once
 
 #include <cstdint>
@@ -13,25 +13,25 @@
 
 namespace ochrespring::gateway {
 
-using BackendId = StrongString<struct BackendIdTag>;  ///< One life of one back end.
+using BackendId = StrongString<struct BackendIdTag>;  ///< One incarnation of a back end.
 using RouteName = StrongString<struct RouteNameTag>;
-/// Version of the configuration; only ever grows.
+/// Version of the configuration; only increases.
 using ConfigurationVersion = StrongNumber<struct ConfigurationVersionTag>;
 
-/// What may be done again with a request.
+/// How often a request may run.
 enum class RequestKind : std::uint8_t {
   kIdempotent,     ///< May run more than once.
   kNonIdempotent,  ///< Runs at most once.
-  kStreaming,      ///< Answered with events; runs at most once unless resumable.
+  kStreaming,      ///< Answered with a stream of events; runs at most once unless resumable.
 };
 
-/// One part of a route's traffic.
+/// Share of a route's traffic that goes to one service.
 struct TrafficShare {
   ServiceName service;
   std::uint32_t weight = 1;
 };
 
-/// Where requests of one host and path go, and how they are treated.
+/// Destination and settings of the requests for one host and path prefix.
 struct Route {
   RouteName name;
   std::string host;
@@ -39,11 +39,11 @@
   RequestKind kind = RequestKind::kNonIdempotent;
   Duration timeout{std::chrono::seconds(5)};
   Duration target_latency{std::chrono::seconds(1)};  ///< Streams: to the first event.
-  Duration target_gap{std::chrono::seconds(1)};      ///< Longest pause between events in time.
-  std::uint32_t priority = 0;                        ///< 0 is the most urgent.
-  std::uint32_t most_attempts = 1;                   ///< Servers one request may be sent to.
+  Duration target_gap{std::chrono::seconds(1)};  ///< Longest gap between events that is on time.
+  std::uint32_t priority = 0;                    ///< 0 is the most urgent.
+  std::uint32_t max_attempts = 1;  ///< Maximum number of back ends that one request is sent to.
   bool resumable = false;
-  bool anonymous = false;  ///< Needs no caller's key, even where there are tenants.
+  bool anonymous = false;  ///< Callers need no key, even if tenants are configured.
   std::vector<TrafficShare> shares;
 
   /// Whether a request may run more than once.
@@ -52,44 +52,45 @@
   }
 };
 
-/// What the engines of a service can hold.
+/// Capacities of the engines of a service.
 struct EngineShape {
   std::uint32_t slots = 1;
   std::uint64_t cache_tokens = 0;
   std::uint64_t bytes_per_token = 0;
-  std::uint32_t tokens_per_event = 0;  ///< Of a stream; 0: not known.
-  /// Whether an engine sends the memory of a run to another one as it grows.
+  std::uint32_t tokens_per_event = 0;  ///< Of a stream; 0: unknown.
+  /// Whether an engine can replicate the KV cache of a stream to another engine as it grows.
   bool backs_up_streams = false;
   Duration role_change{std::chrono::seconds(2)};
 };
 
-/// Who is served, and by which keys its callers are known.
+/// A tenant and the keys that identify its callers.
 struct Tenant {
   TenantName name;
-  std::optional<std::uint32_t> priority;  ///< Goes before that of the route.
+  std::optional<std::uint32_t> priority;  ///< Overrides the route's priority.
   std::vector<KeyDigest> keys;
 };
 
-/// Servers of a service that can be had and given back.
-struct ServerMarket {
-  std::uint32_t least = 0;  ///< Servers of one zone, of both kinds together.
-  std::uint32_t most = 0;
-  Duration boot{std::chrono::seconds(5)};  ///< From an order to its server's first request.
-  /// Price of a server that may be taken away, as a part of the others'; none: there are no such.
+/// Limits and prices for scaling the servers of a service.
+struct ServerScaling {
+  std::uint32_t min_servers = 0;  ///< Per zone, regular and preemptible servers together.
+  std::uint32_t max_servers = 0;
+  Duration boot{std::chrono::seconds(5)};  ///< From the order of a server to its first request.
+  /// Price of a preemptible server relative to a regular one; none: there are none.
   std::optional<double> preemptible_price{};
-  std::map<ZoneName, double> zone_prices{};  ///< Of a server's second, relative to each other.
+  /// Prices per server and second, relative to each other.
+  std::map<ZoneName, double> zone_prices{};
 };
 
 struct Service {
   ServiceName name;
-  std::uint32_t most_connections = 100;  ///< Of all callers together, to one back end.
-  std::optional<EngineShape> engine{};   ///< None: an ordinary service.
-  std::optional<ServerMarket> market{};  ///< None: its servers are fixed.
+  std::uint32_t max_connections = 100;     ///< To one back end, for all callers together.
+  std::optional<EngineShape> engine{};     ///< None: an ordinary service.
+  std::optional<ServerScaling> scaling{};  ///< None: the service is not scaled.
 };
 
-/// What callers may send and how long their connections may rest.
+/// Limits on callers' requests and on the idle time of their connections.
 struct CallerLimits {
-  std::uint64_t largest_body_bytes = 4U << 20U;
+  std::uint64_t max_body_bytes = 4U << 20U;
   Duration idle_timeout{std::chrono::seconds(15)};
 };
 
@@ -103,10 +104,10 @@
   const Service* find_service(const ServiceName& name) const;
 };
 
-/// What a model engine does.
+/// Role of a model engine.
 enum class EngineRole : std::uint8_t { kNone, kPrefill, kDecode };
 
-/// One back end as it registered itself.
+/// A back end as registered in the shared store.
 struct Backend {
   BackendId id;
   ServiceName service;
@@ -114,9 +115,9 @@
   ZoneName zone;
   std::uint32_t slots = 1;
   bool draining = false;
-  bool cold = false;  ///< Slow for a while after its start.
+  bool cold = false;  ///< Recently started, and slow for a while.
   EngineRole role = EngineRole::kNone;
-  bool preemptible = false;  ///< May be taken away at short notice.
+  bool preemptible = false;  ///< May be terminated by the platform at short notice.
 
   bool operator==(const Backend&) const = default;
 
--- a/src/gateway_load/tests/load_fleet.cc
+++ b/src/gateway_load/tests/load_fleet.cc
@@ -12,7 +12,7 @@
 using namespace std::chrono_literals;
 using engine_model::SequenceEventKind;
 using engine_model::SequenceKind;
-using gateway::AttemptVerdict;
+using gateway::AttemptOutcome;
 using gateway::BackendId;
 
 namespace {
@@ -196,14 +196,14 @@
     shortest_gap = std::min(shortest_gap, other.gap);
   }
   const std::uint32_t tokens = options_.performance.tokens_per_event;
-  request.stream = gateway::StreamNeeds{
+  request.stream = gateway::StreamRequirements{
       .target_gap = request_class.gap,
-      .shortest_gap = shortest_gap,
+      .min_target_gap = shortest_gap,
       .time_left = call.deadline - time_.now(),
       .tokens_per_event = tokens,
       .expected_events =
           std::ceil(static_cast<double>(call.prompt.expected_output_tokens) / tokens),
-      .most_events = std::ceil(static_cast<double>(call.prompt.output_tokens) / tokens)};
+      .max_events = std::ceil(static_cast<double>(call.prompt.output_tokens) / tokens)};
   return request;
 }
 
@@ -262,7 +262,7 @@
     }
   }
   for (const CallId id : ended) {
-    end(id, AttemptVerdict::kAbandoned, &Tally::broken);
+    end(id, AttemptOutcome::kAbandoned, &Tally::broken);
   }
 }
 
@@ -347,10 +347,10 @@
   call.prompt = make_prompt(request_class, call.events, id);
   call.counts = measuring_;
   tallies_[request_class.name].offered += call.counts;
-  at(request_class.deadline, [this, id] { end(id, AttemptVerdict::kAbandoned, &Tally::cut_off); });
+  at(request_class.deadline, [this, id] { end(id, AttemptOutcome::kAbandoned, &Tally::cut_off); });
   const auto patience = patience_.find(request_class.name);
   if (patience != patience_.end()) {
-    at(patience->second, [this, id] { end(id, AttemptVerdict::kAbandoned, &Tally::disconnects); });
+    at(patience->second, [this, id] { end(id, AttemptOutcome::kAbandoned, &Tally::disconnects); });
   }
   if (admission_ == nullptr) {
     send(id);
@@ -375,7 +375,7 @@
 void LoadFleet::reject(CallId id, std::size_t class_index, Duration retry_after) {
   const std::size_t node = calls_.at(id).node;
   const MonotonicTime came_first = calls_.at(id).came_first;
-  end(id, AttemptVerdict::kNotSent, &Tally::rejected);
+  end(id, AttemptOutcome::kNotSent, &Tally::rejected);
   const RequestClass& request_class = options_.classes[class_index];
   const auto retries = retries_.find(request_class.name);
   if (retries == retries_.end() || time_.now() - came_first > request_class.deadline) {
@@ -395,15 +395,15 @@
   const gateway::PlacementPlan plan =
       nodes_[call.node]->placement->choose(placement_request(call), time_.now());
   if (plan.runner.backend == nullptr) {
-    end(id, AttemptVerdict::kNotSent, &Tally::rejected);
+    end(id, AttemptOutcome::kNotSent, &Tally::rejected);
     return;
   }
   call.runner = plan.runner.backend->id;
-  const bool apart = plan.reader.backend != nullptr;
-  const gateway::PlacementChoice& reader = apart ? plan.reader : plan.runner;
+  const bool apart = plan.prefill.backend != nullptr;
+  const gateway::PlacementChoice& reader = apart ? plan.prefill : plan.runner;
   // A cache that would be fetched from another engine is read anew: the engine model has no
   // fetches. Shared prompts are few, so that all engines hold them after the warm-up.
-  call.unread_there = reader.unread_tokens;
+  call.unread_there = reader.prefill_tokens;
   gateway::LoadTable& loads = nodes_[call.node]->loads;
   loads.note_prompt(reader.backend->id, call.prompt, time_.now());
   submit(call, apart ? SequenceKind::kPrefill : SequenceKind::kWhole, engine_of(*reader.backend),
@@ -455,17 +455,17 @@
       note_output(call, engine, event);
       break;
     case SequenceEventKind::kFinished:
-      end(found->first, AttemptVerdict::kGood, call.on_time ? &Tally::on_time : &Tally::late);
+      end(found->first, AttemptOutcome::kSucceeded, call.on_time ? &Tally::on_time : &Tally::late);
       break;
     case SequenceEventKind::kDropped:
-      end(found->first, AttemptVerdict::kFailed, &Tally::broken);
+      end(found->first, AttemptOutcome::kFailed, &Tally::broken);
       break;
   }
 }
 
 void LoadFleet::hand_over(Call& call, SimulatedEngine& reader) {
   nodes_[call.node]->loads.note_report(call.at, reader.report(), time_.now());
-  end_attempt(call, AttemptVerdict::kGood);
+  end_attempt(call, AttemptOutcome::kSucceeded);
   SimulatedEngine& runner = *engines_.at(call.runner);
   const bool near = runner.backend().zone == reader.backend().zone;
   const MonotonicTime ready = reader.export_cache(
@@ -481,7 +481,7 @@
   }
   if (call.seen == 0) {
     call.on_time = event.at - call.arrived <= call.request_class->first_event;
-    nodes_[call.node]->loads.note_read(call.at, std::exchange(call.unread_there, 0));
+    nodes_[call.node]->loads.note_prefilled(call.at, std::exchange(call.unread_there, 0));
     nodes_[call.node]->loads.note_report(call.at, engine.report(), time_.now());
   } else {
     call.on_time = call.on_time && event.at - call.last_event <= call.request_class->gap;
@@ -490,21 +490,21 @@
   call.last_event = event.at;
 }
 
-void LoadFleet::end_attempt(Call& call, AttemptVerdict verdict) {
+void LoadFleet::end_attempt(Call& call, AttemptOutcome verdict) {
   gateway::LoadTable& loads = nodes_[call.node]->loads;
-  loads.note_read(call.at, std::exchange(call.unread_there, 0));
+  loads.note_prefilled(call.at, std::exchange(call.unread_there, 0));
   loads.end(call.at, verdict, time_.now());
   call.at = BackendId();
 }
 
-void LoadFleet::end(CallId id, AttemptVerdict verdict, std::uint32_t Tally::*count) {
+void LoadFleet::end(CallId id, AttemptOutcome verdict, std::uint32_t Tally::*count) {
   const auto found = calls_.find(id);
   if (found == calls_.end()) {
     return;
   }
   Call& call = found->second;
   const bool worked_on = !call.at.value().empty();
-  if (worked_on && verdict == AttemptVerdict::kAbandoned) {
+  if (worked_on && verdict == AttemptOutcome::kAbandoned) {
     engines_.at(call.at)->cancel(id, time_.now());
   }
   if (worked_on) {
@@ -518,7 +518,7 @@
   calls_.erase(found);
   if (admission_ != nullptr && sent) {
     admission_->ended(node, id);
-  } else if (admission_ != nullptr && verdict == AttemptVerdict::kAbandoned) {
+  } else if (admission_ != nullptr && verdict == AttemptOutcome::kAbandoned) {
     admission_->left(node, id);
   }
 }
--- a/src/gateway_load/tests/load_fleet.h
+++ b/src/gateway_load/tests/load_fleet.h
@@ -147,9 +147,9 @@
   void hand_over(Call& call, SimulatedEngine& reader);
   void note_output(Call& call, SimulatedEngine& engine, const engine_model::SequenceEvent& event);
   /// Ends a call with the verdict that its engines get and the count of the tally it belongs to.
-  void end(CallId id, gateway::AttemptVerdict verdict, std::uint32_t Tally::*count);
+  void end(CallId id, gateway::AttemptOutcome verdict, std::uint32_t Tally::*count);
   void end_all(const std::function<bool(const Call&)>& concerned);
-  void end_attempt(Call& call, gateway::AttemptVerdict verdict);
+  void end_attempt(Call& call, gateway::AttemptOutcome verdict);
   SimulatedEngine& engine_of(const gateway::Backend& backend) { return *engines_.at(backend.id); }
   void tell_peers(std::size_t node, const gateway::BackendId& engine);
 
--- a/src/gateway_node/gateway_node.cc
+++ b/src/gateway_node/gateway_node.cc
@@ -358,7 +358,7 @@
 void GatewayNode::apply_limits() {
   const auto& limits =
       fleet_.routes() ? fleet_.routes()->configuration().limits : gateway::CallerLimits();
-  callers_.set_largest_body(limits.largest_body_bytes);
+  callers_.set_largest_body(limits.max_body_bytes);
   callers_.set_idle_timeout(limits.idle_timeout + kIdleMargin);
 }
 
--- a/src/gateway_node/peer_news.cc
+++ b/src/gateway_node/peer_news.cc
@@ -74,7 +74,7 @@
       announcer_.note_end(id, failed);
     }
   });
-  loads.on_silence([this](const gateway::BackendId& id) { announcer_.note_silence(id); });
+  loads.on_unresponsive([this](const gateway::BackendId& id) { announcer_.note_silence(id); });
   loads.on_prompt([this](const gateway::BackendId& id, const std::vector<std::uint64_t>& keys) {
     announcer_.note_parts(id, keys);
   });
@@ -156,10 +156,10 @@
     }
     gateway::BackendLoad& load = world_.loads.of(work.engine);
     if (work.ended != 0) {
-      load.note_told_ends(work.ended, work.failed, now);
+      load.note_peer_outcomes(work.ended, work.failed, now);
     }
     if (work.silent) {
-      load.note_told_silence(now);
+      load.note_peer_unresponsive(now);
     }
     for (const std::uint64_t key : work.parts_read) {
       world_.loads.note_cached(work.engine, key, now);
--- a/src/gateway_node/tests/crash_fleet.h
+++ b/src/gateway_node/tests/crash_fleet.h
@@ -17,7 +17,7 @@
 #include "admission/admission_control.h"
 #include "base/random.h"
 #include "discovery/fleet_watcher.h"
-#include "gateway/backend_life.h"
+#include "gateway/backend_incarnation.h"
 #include "gateway/gateway.h"
 #include "gateway/tests/gateway_fixture.h"
 #include "gateway_node/peer_news.h"
@@ -539,7 +539,7 @@
                             : gateway::BackendId(base + "-" + std::to_string(server.lives));
   }
   void register_server(const PlayedServer& server) {
-    write("backends/" + std::string(gateway::name_of(server.backend.id)),
+    write("backends/" + std::string(gateway::backend_name(server.backend.id)),
           wire::encode(server.backend));
   }
   void start_node(std::size_t number) {
@@ -557,7 +557,7 @@
     const auto header = [&](const std::string& wanted) {
       return http::find_header(exchange->request.headers, wanted);
     };
-    if (header(names.expected_instance) != gateway::name_of(server.backend.id)) {
+    if (header(names.expected_instance) != gateway::backend_name(server.backend.id)) {
       answer(server, exchange, 421, {}, "");
       return;
     }
--- a/src/gateway_node/tests/large_fleet_test.cc
+++ b/src/gateway_node/tests/large_fleet_test.cc
@@ -127,7 +127,7 @@
   fleet.advance(50ms);
   const std::uint64_t sent = fleet.datagrams - before;
   CHECK(fleet.count([&](const FleetNode& node) {
-    return node.loads.others(engine, fleet.time.now()).unread_tokens == 400;
+    return node.loads.others(engine, fleet.time.now()).pending_prefill_tokens == 400;
   }) == kNodes - 1);
   CHECK(fleet.nodes[1]->loads.others(engine, fleet.time.now()).requests == 0);
   // Ten relays hear it, and each tells its zone once.
--- a/src/peer_load/peer_work.cc
+++ b/src/peer_load/peer_work.cc
@@ -11,7 +11,7 @@
 /// Takes off what was added before, or at most all.
 void take_off(EngineWorkload& sum, const EngineWorkload& work) {
   sum.requests -= std::min(sum.requests, work.requests);
-  sum.unread_tokens -= std::min(sum.unread_tokens, work.unread_tokens);
+  sum.pending_prefill_tokens -= std::min(sum.pending_prefill_tokens, work.pending_prefill_tokens);
 }
 
 }  // namespace
@@ -49,7 +49,7 @@
   const EngineWorkload direct = direct_work_at(engine, now);
   const EngineWorkload relayed = relayed_work_at(engine, now);
   return {std::max(direct.requests, relayed.requests),
-          std::max(direct.unread_tokens, relayed.unread_tokens)};
+          std::max(direct.pending_prefill_tokens, relayed.pending_prefill_tokens)};
 }
 
 EngineWorkload PeerWork::direct_work_at(const gateway::BackendId& engine, MonotonicTime now) const {
--- a/src/peer_load/tests/peer_load_test.cc
+++ b/src/peer_load/tests/peer_load_test.cc
@@ -53,7 +53,7 @@
   work.apply(make_report("a", 3, 1, 30), now);
   work.apply(make_report("a", 2, 9, 900), now);
   CHECK(work.work_at(BackendId("e"), now).requests == 2);
-  CHECK(work.work_at(BackendId("e"), now).unread_tokens == 80);
+  CHECK(work.work_at(BackendId("e"), now).pending_prefill_tokens == 80);
   CHECK(work.work_at(BackendId("other"), now).requests == 0);
 }
 
@@ -76,11 +76,11 @@
   loads.begin(BackendId("e"), 100);
   work.apply_relayed(make_report("relay", 1, 3, 700), now);
   CHECK(work.work_at(BackendId("e"), now).requests == 2);
-  CHECK(work.work_at(BackendId("e"), now).unread_tokens == 600);
+  CHECK(work.work_at(BackendId("e"), now).pending_prefill_tokens == 600);
   // The sum may be older than what began here since.
   work.apply_relayed(make_report("relay", 2, 0, 0), now);
   CHECK(work.work_at(BackendId("e"), now).requests == 0);
-  CHECK(work.work_at(BackendId("e"), now).unread_tokens == 0);
+  CHECK(work.work_at(BackendId("e"), now).pending_prefill_tokens == 0);
 }
 
 TEST_CASE("a relay's sums are forgotten when relays fall silent; what a node tells itself counts") {
@@ -89,7 +89,7 @@
   work.apply_relayed(make_report("relay", 1, 3, 700), now);
   work.apply(make_report("a", 1, 1, 900), now + 2s);
   CHECK(work.work_at(BackendId("e"), now + 2s).requests == 3);
-  CHECK(work.work_at(BackendId("e"), now + 2s).unread_tokens == 900);
+  CHECK(work.work_at(BackendId("e"), now + 2s).pending_prefill_tokens == 900);
   CHECK(work.work_at(BackendId("e"), now + 3s).requests == 1);
   work.forget(BackendId("e"));
   CHECK(work.work_at(BackendId("e"), now + 3s).requests == 0);
@@ -112,7 +112,7 @@
             sum += now - told.second <= PeerWork::kBelief ? told.first : 0;
           }
           RC_ASSERT(work.work_at(BackendId("e"), now).requests == sum);
-          RC_ASSERT(work.work_at(BackendId("e"), now).unread_tokens == sum);
+          RC_ASSERT(work.work_at(BackendId("e"), now).pending_prefill_tokens == sum);
         }
       }));
 }
@@ -174,8 +174,8 @@
   CHECK(world.sent[0].engines[0].unread_tokens == 100);
   world.time.run_until(world.time.now() + 1100ms);
   CHECK(world.sent.size() == 2);
-  world.loads.end(BackendId("e"), gateway::AttemptVerdict::kGood, world.time.now());
-  world.loads.end(BackendId("e"), gateway::AttemptVerdict::kGood, world.time.now());
+  world.loads.end(BackendId("e"), gateway::AttemptOutcome::kSucceeded, world.time.now());
+  world.loads.end(BackendId("e"), gateway::AttemptOutcome::kSucceeded, world.time.now());
   world.time.run_until(world.time.now() + 10s);
   CHECK(world.sent.back().engines[0].requests == 0);
   CHECK(world.sent.size() == 3);
@@ -184,11 +184,11 @@
 TEST_CASE("a silent back end is told once, with its work") {
   AnnouncingNode world;
   world.loads.on_change([&](const BackendId& id) { world.announcer.note_change(id); });
-  world.loads.on_silence([&](const BackendId& id) { world.announcer.note_silence(id); });
+  world.loads.on_unresponsive([&](const BackendId& id) { world.announcer.note_silence(id); });
   world.loads.begin(BackendId("e"), 0);
-  world.loads.note_silence(BackendId("e"), world.time.now());
+  world.loads.note_unresponsive(BackendId("e"), world.time.now());
   world.time.run_until(world.time.now() + 10ms);
-  world.loads.end(BackendId("e"), gateway::AttemptVerdict::kFailed, world.time.now());
+  world.loads.end(BackendId("e"), gateway::AttemptOutcome::kFailed, world.time.now());
   world.time.run_until(world.time.now() + 10ms);
   REQUIRE(world.sent.size() == 2);
   CHECK(world.sent[0].engines[0].silent);
@@ -200,8 +200,8 @@
   world.loads.on_change([&](const BackendId& id) { world.announcer.note_change(id); });
   world.loads.on_end(
       [&](const BackendId& id, bool failed) { world.announcer.note_end(id, failed); });
-  for (const auto verdict : {gateway::AttemptVerdict::kGood, gateway::AttemptVerdict::kFailed,
-                             gateway::AttemptVerdict::kAbandoned}) {
+  for (const auto verdict : {gateway::AttemptOutcome::kSucceeded, gateway::AttemptOutcome::kFailed,
+                             gateway::AttemptOutcome::kAbandoned}) {
     world.loads.begin(BackendId("e"), 0);
     world.loads.end(BackendId("e"), verdict, world.time.now());
   }
--- a/src/peer_load/work_announcer.cc
+++ b/src/peer_load/work_announcer.cc
@@ -81,7 +81,7 @@
 void WorkAnnouncer::tell_all(const gateway::LoadTable& loads, MonotonicTime now, const Send& send) {
   for (const auto& [engine, load] : loads.all()) {
     EngineWork work = work_at(engine);
-    work.parts_read = load.held_parts(now);
+    work.parts_read = load.cached_part_keys(now);
     if (!work.parts_read.empty()) {
       append(std::move(work), send);
     }
@@ -94,7 +94,7 @@
   EngineWork work;
   work.engine = engine;
   work.requests = now.requests;
-  work.unread_tokens = now.unread_tokens;
+  work.unread_tokens = now.pending_prefill_tokens;
   return work;
 }
 
--- a/src/quarantine/quarantine.cc
+++ b/src/quarantine/quarantine.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "gateway/backend_life.h"
+#include "gateway/backend_incarnation.h"
 #include "wire/codec.h"
 
 namespace ochrespring::quarantine {
@@ -162,7 +162,7 @@
   if (ledger_.held_against(attempt.backend, attempt.started).empty()) {
     return;
   }
-  if (gateway::may_be_reborn(attempt.backend)) {
+  if (gateway::has_incarnation(attempt.backend)) {
     clear_later(attempt.backend, attempt.started);
   } else {
     clear(attempt.backend, attempt.started);
