--- a/src/gateway/gap_forecast.h
+++ b/src/gateway/gap_forecast.h
@@ -1,4 +1,4 @@
-// Predicts at an engine how long the pauses between a stream's events are, and when it ends.
+// Predicts the gaps between a stream's events at an engine, and when the stream ends.
 #pragma once
 
 #include <cstdint>
@@ -9,26 +9,27 @@
 
 namespace ochrespring::gateway {
 
-/// What a stream needs of the engine that runs it.
+/// What a stream requires of the engine that runs it.
 struct StreamRequirements {
-  Duration target_gap{};    ///< Longest pause between its events in time.
-  Duration shortest_gap{};  ///< The same of all streams of its service, which may run beside it.
-  Duration time_left{};     ///< Until its deadline.
+  Duration target_gap{};      ///< Longest gap between events that is on time.
+  Duration min_target_gap{};  ///< Smallest target gap of all streams of the service, which may run
+                              ///< on the same engine.
+  Duration time_left{};       ///< Time until the deadline.
   std::uint32_t tokens_per_event = 0;  ///< At least 1.
   double expected_events = 0;
-  double most_events = 0;
+  double max_events = 0;
 };
 
-/// The pauses of one engine's streams. An event takes as long as its tokens do, plus the prompts
-/// that the engine reads beside: an engine that generates reads at half the pace of one that does
-/// nothing else, a piece in each step, and all of its streams wait for that piece. Disturbances
-/// multiply both. Pure; refers to what it is made of.
+/// Gaps of the streams at one engine. An event takes as long as its tokens, plus the prefill work
+/// that the engine does at the same time: an engine that decodes prefills at half the speed of one
+/// that does not, a chunk in each step, and all of its streams wait for that chunk. Disturbances
+/// multiply both. Has no side effects; keeps references to `profiles` and the service name.
 class GapForecast {
  public:
   struct Engine {
     const ServiceName& service;
     EngineProfile profile;
-    ReportedPace pace;  ///< As the engine told it last.
+    ReportedPace pace;  ///< From the engine's last load report.
   };
 
   GapForecast(const EngineProfiles& profiles, const Engine& engine, std::uint32_t tokens_per_event,
@@ -36,22 +37,23 @@
       : profiles_(profiles), engine_(engine), tokens_per_event_(tokens_per_event), now_(now) {}
 
   const EngineProfile& profile() const { return engine_.profile; }
-  /// Probability, 0 to 1, that the next pause of a stream is longer than `gap` if the engine has
-  /// so many prompt tokens to read.
-  double late_gap_probability(Duration gap, double unread_tokens) const;
-  /// Probability that one of the stream's pauses is too long.
-  double late_stream(const StreamRequirements& needs, double unread_tokens) const;
+  /// Probability, 0 to 1, that the next gap of a stream is longer than `gap` while the engine has
+  /// `pending_prefill_tokens` prompt tokens to prefill.
+  double late_gap_probability(Duration gap, double pending_prefill_tokens) const;
+  /// Probability that one of the stream's gaps exceeds its target.
+  double late_stream_probability(const StreamRequirements& needs,
+                                 double pending_prefill_tokens) const;
   /// Probability that the stream does not end before its deadline.
-  double unfinished_stream(const StreamRequirements& needs) const;
-  /// Whether long streams with such a gap stay in time here, as far as engines are usually
-  /// disturbed.
+  double missed_deadline_probability(const StreamRequirements& needs) const;
+  /// Whether long streams with this target gap stay on time at the engine under the typical
+  /// disturbances of its service.
   bool suits_long_streams(Duration gap) const;
-  /// From one event to the next, undisturbed.
-  Duration event_time(double unread_tokens) const;
+  /// Time from one event to the next without disturbances.
+  Duration event_time(double pending_prefill_tokens) const;
 
  private:
-  /// Share of all time in which an event that usually takes `event` takes longer than `gap`.
-  double usually_late(Duration event, Duration gap) const;
+  /// Share of recent time in which an event that normally takes `event` takes longer than `gap`.
+  double typical_late_share(Duration event, Duration gap) const;
 
   const EngineProfiles& profiles_;
   Engine engine_;
