--- a/src/discovery/fleet_lister.cc
+++ b/src/discovery/fleet_lister.cc
@@ -53,7 +53,7 @@
   Range& range = run->ranges[index];
   range.failed_attempts = 0;
   if (run->revision && run->revision->era() != page.revision.era()) {
-    fail_run(run, {shared_store::StoreErrc::kNotDone,
+    fail_run(run, {shared_store::StoreErrc::kNotExecuted,
                    "the store was restored from an older copy between two pages"});
     return;
   }
--- a/src/discovery/node_directory.cc
+++ b/src/discovery/node_directory.cc
@@ -30,7 +30,7 @@
   }
 }
 
-void NodeDirectory::readmit_deferred() {
+void NodeDirectory::add_deferred_nodes() {
   for (const auto& [node, record] : std::exchange(deferred_, {})) {
     put(record);
   }
--- a/src/discovery/node_directory.h
+++ b/src/discovery/node_directory.h
@@ -37,7 +37,7 @@
   /// Re-adds the nodes of a complete view that had announced that they leave. Such a view does not
   /// contain the revisions of the registrations, so these nodes count again once the notice is too
   /// old to be from their current process.
-  void readmit_deferred();
+  void add_deferred_nodes();
   void leave() {
     leaving_ = true;
     ++version_;
--- a/src/discovery/tests/shared_polls_test.cc
+++ b/src/discovery/tests/shared_polls_test.cc
@@ -545,11 +545,11 @@
     REQUIRE(fleet.routes() != nullptr);
     CHECK(fleet.routes()->configuration().version.value() == 3);
     CHECK(fleet.backends().size() == 1);
-    take(store.lists)(fail(StoreErrc::kNotDone, "down"));
+    take(store.lists)(fail(StoreErrc::kNotExecuted, "down"));
     time.run_until(time.now() + 1500ms);
     REQUIRE(store.changes_calls.size() == 1);
     CHECK(store.changes_calls[0].after == StoreRevision(12));
-    take(store.changes_calls).done(fail(StoreErrc::kNotDone, "down"));
+    take(store.changes_calls).done(fail(StoreErrc::kNotExecuted, "down"));
     CHECK(asked.size() == 1);
   }
   SUBCASE("if the store answers first, its view stays") {
@@ -696,7 +696,7 @@
   for (int i = 0; i != 30; ++i) {
     REQUIRE(fixture.store.changes_calls.size() == 1);
     tries.push_back(fixture.time.now());
-    take(fixture.store.changes_calls).done(fail(StoreErrc::kNotDone, "down"));
+    take(fixture.store.changes_calls).done(fail(StoreErrc::kNotExecuted, "down"));
     while (fixture.store.changes_calls.empty()) {
       fixture.advance(10ms);
     }
@@ -709,7 +709,7 @@
   take(fixture.store.lists)(Listing{{}, StoreRevision(10)});
   fixture.advance(1500ms);
   REQUIRE(fixture.store.changes_calls.size() == 1);
-  take(fixture.store.changes_calls).done(fail(StoreErrc::kNotDone, "down"));
+  take(fixture.store.changes_calls).done(fail(StoreErrc::kNotExecuted, "down"));
   fixture.advance(610ms);
   CHECK(fixture.store.changes_calls.size() == 1);
 }
--- a/src/shared_store/tests/memory_store.h
+++ b/src/shared_store/tests/memory_store.h
@@ -241,7 +241,7 @@
     ++calls;
     if (refuses_calls || state_.down) {
       node_.schedule_after(state_.answer_time,
-                           [done] { done(fail(StoreErrc::kNotDone, "call refused")); });
+                           [done] { done(fail(StoreErrc::kNotExecuted, "call refused")); });
       return;
     }
     if (partitioned || drops_answers || execution_delay != Duration::zero()) {
