--- a/src/gateway_node/peer_news.cc
+++ b/src/gateway_node/peer_news.cc
@@ -74,7 +74,7 @@
       announcer_.note_attempt_end(id, failed);
     }
   });
-  loads.on_silence([this](const gateway::BackendId& id) { announcer_.note_silence(id); });
+  loads.on_silence([this](const gateway::BackendId& id) { announcer_.note_unresponsive(id); });
   loads.on_prompt([this](const gateway::BackendId& id, const std::vector<std::uint64_t>& keys) {
     announcer_.note_prefilled_parts(id, keys);
   });
@@ -161,7 +161,7 @@
     if (work.ended != 0) {
       load.note_told_ends(work.ended, work.failed, now);
     }
-    if (work.silent) {
+    if (work.unresponsive) {
       load.note_told_silence(now);
     }
     for (const std::uint64_t key : work.prefilled_parts) {
--- a/src/peer_load/tests/peer_load_test.cc
+++ b/src/peer_load/tests/peer_load_test.cc
@@ -130,7 +130,7 @@
     WorkReport report = make_report(node, 1, 2, 300);
     report.engines[0].ended = 3;
     report.engines[0].failed = 1;
-    report.engines[0].silent = true;
+    report.engines[0].unresponsive = true;
     report.engines[0].prefilled_parts = {77};
     work.apply(report, time.now());
     relay.note_report(report);
@@ -145,7 +145,7 @@
   CHECK(sum.pending_prefill_tokens == 600);
   CHECK(sum.ended == 6);
   CHECK(sum.failed == 2);
-  CHECK(sum.silent);
+  CHECK(sum.unresponsive);
   CHECK(sum.prefilled_parts.size() == 2);
 }
 
@@ -186,15 +186,15 @@
 TEST_CASE("an unresponsive back end is reported once, together with its work") {
   AnnouncingNode fixture;
   fixture.loads.on_change([&](const BackendId& id) { fixture.announcer.note_change(id); });
-  fixture.loads.on_silence([&](const BackendId& id) { fixture.announcer.note_silence(id); });
+  fixture.loads.on_silence([&](const BackendId& id) { fixture.announcer.note_unresponsive(id); });
   fixture.loads.begin(BackendId("e"), 0);
   fixture.loads.note_silence(BackendId("e"), fixture.time.now());
   fixture.time.run_until(fixture.time.now() + 10ms);
   fixture.loads.end(BackendId("e"), gateway::AttemptVerdict::kFailed, fixture.time.now());
   fixture.time.run_until(fixture.time.now() + 10ms);
   REQUIRE(fixture.sent.size() == 2);
-  CHECK(fixture.sent[0].engines[0].silent);
-  CHECK_FALSE(fixture.sent[1].engines[0].silent);
+  CHECK(fixture.sent[0].engines[0].unresponsive);
+  CHECK_FALSE(fixture.sent[1].engines[0].unresponsive);
 }
 
 TEST_CASE("the outcomes of attempts are reported once") {
--- a/src/peer_load/types.h
+++ b/src/peer_load/types.h
@@ -18,8 +18,8 @@
   std::uint64_t pending_prefill_tokens = 0;  ///< Input tokens that are not prefilled yet.
   /// Attempts that ended since the last report and reflect the health of the engine.
   std::uint32_t ended = 0;
-  std::uint32_t failed = 0;  ///< Those of `ended` that failed.
-  bool silent = false;       ///< The engine has just been unresponsive to this node.
+  std::uint32_t failed = 0;   ///< Those of `ended` that failed.
+  bool unresponsive = false;  ///< The engine has just been unresponsive to this node.
   /// Keys of shared prompt parts that were prefilled since the last report.
   std::vector<std::uint64_t> prefilled_parts;
 
@@ -30,7 +30,7 @@
     archive& pending_prefill_tokens;
     archive& ended;
     archive& failed;
-    archive& silent;
+    archive& unresponsive;
     archive& prefilled_parts;
   }
 };
--- a/src/peer_load/work_announcer.cc
+++ b/src/peer_load/work_announcer.cc
@@ -23,7 +23,7 @@
   }
 }
 
-void WorkAnnouncer::note_silence(const gateway::BackendId& backend) {
+void WorkAnnouncer::note_unresponsive(const gateway::BackendId& backend) {
   unresponsive_.insert(backend);
   note_change(backend);
 }
@@ -44,7 +44,7 @@
 
 void WorkAnnouncer::note_report(const WorkReport& report) {
   for (const EngineWork& work : report.engines) {
-    if (work.silent) {
+    if (work.unresponsive) {
       unresponsive_.insert(work.engine);
     }
     if (work.ended != 0) {
@@ -57,7 +57,7 @@
 void WorkAnnouncer::announce() {
   for (const gateway::BackendId& engine : std::exchange(changed_, {})) {
     EngineWork work = work_at(engine);
-    work.silent = unresponsive_.erase(engine) != 0;
+    work.unresponsive = unresponsive_.erase(engine) != 0;
     if (const auto ends = attempt_ends_.extract(engine)) {
       work.ended = ends.mapped().ended;
       work.failed = ends.mapped().failed;
--- a/src/peer_load/work_announcer.h
+++ b/src/peer_load/work_announcer.h
@@ -37,7 +37,7 @@
   /// Schedules a report on the engine, because the work there has changed.
   void note_change(const gateway::BackendId& engine);
   /// Schedules a report that the back end is unresponsive or cannot be reached.
-  void note_silence(const gateway::BackendId& backend);
+  void note_unresponsive(const gateway::BackendId& backend);
   /// Counts an attempt at an engine that has ended; included in the next report on the engine.
   void note_attempt_end(const gateway::BackendId& engine, bool failed) {
     note_attempt_ends(engine, 1, failed ? 1 : 0);
--- a/src/quarantine/tests/termination_detector_test.cc
+++ b/src/quarantine/tests/termination_detector_test.cc
@@ -30,8 +30,8 @@
     backend.draining = draining;
     return backend;
   }
-  void note_break(gateway::BreakKind kind = gateway::BreakKind::kClosed,
-                  std::uint64_t request = 1) {
+  void fail_attempt(gateway::BreakKind kind = gateway::BreakKind::kClosed,
+                    std::uint64_t request = 1) {
     detector.note_failed_attempt(
         {{0, request}, ServiceName("s"), kBackend, time.now() - 100ms, kind});
   }
@@ -61,8 +61,8 @@
 
 TEST_CASE("a refused probe reports the termination with all attempts that failed at the back end") {
   DetectorFixture fixture;
-  fixture.note_break(gateway::BreakKind::kClosed, 1);
-  fixture.note_break(gateway::BreakKind::kClosed, 2);
+  fixture.fail_attempt(gateway::BreakKind::kClosed, 1);
+  fixture.fail_attempt(gateway::BreakKind::kClosed, 2);
   CHECK(fixture.probes.empty());
   CHECK(fixture.detector.suspected_terminations({0, 1}) == CrashLedger::BackendIds{kBackend});
   fixture.advance(50ms);
@@ -72,30 +72,30 @@
   CHECK(fixture.detector.idle());
   // An attempt that failed with the others is reported; one that started after the termination is
   // not.
-  fixture.note_break(gateway::BreakKind::kClosed, 3);
+  fixture.fail_attempt(gateway::BreakKind::kClosed, 3);
   fixture.advance(1s);
-  fixture.note_break(gateway::BreakKind::kClosed, 4);
+  fixture.fail_attempt(gateway::BreakKind::kClosed, 4);
   CHECK(fixture.terminated == std::vector<std::size_t>{2, 1});
   CHECK(fixture.probes.empty());
 }
 
 TEST_CASE("an accepted probe reports no termination") {
   DetectorFixture fixture;
-  fixture.note_break();
+  fixture.fail_attempt();
   fixture.advance(50ms);
   fixture.answer_probe(http::ProbeResult::kAccepted);
   CHECK(fixture.terminated.empty());
   CHECK(fixture.detector.idle());
   // For a while an unresponsive attempt does not cause another probe, but a closed connection does.
-  fixture.note_break(gateway::BreakKind::kSilent);
+  fixture.fail_attempt(gateway::BreakKind::kSilent);
   CHECK(fixture.detector.idle());
-  fixture.note_break(gateway::BreakKind::kClosed);
+  fixture.fail_attempt(gateway::BreakKind::kClosed);
   CHECK_FALSE(fixture.detector.idle());
 }
 
 TEST_CASE("if the probe is not answered, the fleet view decides") {
   DetectorFixture fixture;
-  fixture.note_break(gateway::BreakKind::kSilent);
+  fixture.fail_attempt(gateway::BreakKind::kSilent);
   CHECK(fixture.detector.suspected_terminations({0, 1}).empty());
   fixture.advance(50ms);
   fixture.answer_probe(http::ProbeResult::kNoAnswer);
@@ -120,9 +120,9 @@
 TEST_CASE("back ends that are draining or no longer in the view are not investigated") {
   DetectorFixture fixture;
   fixture.fleet.put(DetectorFixture::make_backend(true));
-  fixture.note_break();
+  fixture.fail_attempt();
   CHECK(fixture.detector.idle());
   fixture.fleet.remove(kBackend);
-  fixture.note_break();
+  fixture.fail_attempt();
   CHECK(fixture.detector.idle());
 }
