--- a/src/gateway/cache_sources.cc
+++ b/src/gateway/cache_sources.cc
@@ -7,24 +7,24 @@
 
 namespace {
 
-struct KeptPrefix {
+struct FetchablePrefix {
   std::uint64_t tokens = 0;
   MonotonicTime used_at{};
 };
 
 /// Prefix of the prompt that other engines can fetch from this one. A cached part is usable only if
 /// all parts before it are cached.
-KeptPrefix kept_prefix(const BackendLoad& load, const Prompt& prompt, MonotonicTime now) {
-  KeptPrefix kept;
+FetchablePrefix fetchable_prefix(const BackendLoad& load, const Prompt& prompt, MonotonicTime now) {
+  FetchablePrefix prefix;
   for (std::size_t i = 0; i + 1 < prompt.parts.size(); ++i) {
     const std::optional<MonotonicTime> used_at = load.ready_part(prompt.parts[i].key, now);
     if (!used_at) {
       break;
     }
-    kept.tokens += prompt.parts[i].tokens;
-    kept.used_at = *used_at;
+    prefix.tokens += prompt.parts[i].tokens;
+    prefix.used_at = *used_at;
   }
-  return kept;
+  return prefix;
 }
 
 }  // namespace
@@ -51,15 +51,15 @@
   if (load == nullptr || load->ejected(now)) {
     return;
   }
-  const KeptPrefix kept = kept_prefix(*load, prompt, now);
-  if (kept.tokens == 0 || kept.tokens < tokens_) {
+  const FetchablePrefix prefix = fetchable_prefix(*load, prompt, now);
+  if (prefix.tokens == 0 || prefix.tokens < tokens_) {
     return;
   }
-  if (kept.tokens > tokens_) {
+  if (prefix.tokens > tokens_) {
     sources_.clear();
-    tokens_ = kept.tokens;
+    tokens_ = prefix.tokens;
   }
-  sources_.push_back({&engine, kept.used_at});
+  sources_.push_back({&engine, prefix.used_at});
 }
 
 std::uint64_t CacheSources::tokens_for(const Backend& engine) const {
--- a/src/gateway/fleet_state.cc
+++ b/src/gateway/fleet_state.cc
@@ -109,18 +109,18 @@
 }
 
 std::vector<BackendId> FleetState::incarnations_of(std::string_view name) const {
-  std::vector<BackendId> lives;
+  std::vector<BackendId> incarnations;
   const BackendId plain{std::string(name)};
   if (backends_.contains(plain) && backend_name(plain) == name) {
-    lives.push_back(plain);
+    incarnations.push_back(plain);
   }
   for (auto found = backends_.lower_bound(BackendId(plain.value() + '@'));
        found != backends_.end() && found->first.value().starts_with(plain.value() + '@'); ++found) {
     if (backend_name(found->first) == name) {
-      lives.push_back(found->first);
+      incarnations.push_back(found->first);
     }
   }
-  return lives;
+  return incarnations;
 }
 
 const Backend* FleetState::find(const BackendId& id) const {
--- a/src/gateway/gap_forecast.cc
+++ b/src/gateway/gap_forecast.cc
@@ -28,10 +28,10 @@
 }  // namespace
 
 Duration GapForecast::event_time(double pending_prefill_tokens) const {
-  const Duration generating = engine_.profile.output_token * tokens_per_event_;
-  const double reading =
+  const Duration decode = engine_.profile.output_token * tokens_per_event_;
+  const double prefill =
       kConcurrentPrefillFactor * pending_prefill_tokens * to_seconds(engine_.profile.prompt_token);
-  return generating + from_seconds(reading);
+  return decode + from_seconds(prefill);
 }
 
 double GapForecast::typical_late_share(Duration event, Duration gap) const {
--- a/src/gateway/placement.cc
+++ b/src/gateway/placement.cc
@@ -361,23 +361,23 @@
                                                   MonotonicTime now) const {
   const BackendLoad& load = load_of(backend);
   const std::uint64_t shared = view.prompt.shared_tokens();
-  std::uint64_t held = 0;
+  std::uint64_t cached = 0;
   for (const PromptPart& part : view.prompt.parts) {
     // A cached part is usable only if all parts before it are cached.
     if (!load.holds(part.key, now)) {
       break;
     }
-    held += part.tokens;
+    cached += part.tokens;
   }
-  held = std::min(held, shared);
+  cached = std::min(cached, shared);
   PrefillWork prefill_work;
-  const std::uint64_t kept = std::min(view.sources.tokens_for(backend), shared);
-  if (kept >= held + kMinFetchTokens) {
+  const std::uint64_t fetchable = std::min(view.sources.tokens_for(backend), shared);
+  if (fetchable >= cached + kMinFetchTokens) {
     prefill_work.cache_source = view.sources.best_for(backend);
-    prefill_work.fetched_tokens = kept - held;
-    held = kept;
+    prefill_work.fetched_tokens = fetchable - cached;
+    cached = fetchable;
   }
-  double missing = static_cast<double>(shared - held);
+  double missing = static_cast<double>(shared - cached);
   if (&backend == view.home) {
     missing *= kHomeMissingShare;
   }
--- a/src/gateway/request_dispatch.cc
+++ b/src/gateway/request_dispatch.cc
@@ -223,7 +223,7 @@
     owner_.give_up(FailureReason::kTimeout);
   } else if (passes_guard()) {
     owner_.start_attempt({.backend = backend,
-                          .unread_tokens = claimed.unread_tokens,
+                          .prefill_tokens = claimed.unread_tokens,
                           .cache_source = fleet.find(claimed.cache_source)},
                          claimed.kind);
   }
--- a/src/gateway/tests/backend_index_test.cc
+++ b/src/gateway/tests/backend_index_test.cc
@@ -43,11 +43,11 @@
     const std::string text = "part" + std::to_string(key);
     homes[text] = fleet.index().find(service, false)->home(text, any)->id;
   }
-  const BackendId gone = homes["part7"];
-  fleet.remove(gone);
+  const BackendId removed = homes["part7"];
+  fleet.remove(removed);
   for (const auto& [key, home] : homes) {
     const Backend* now = fleet.index().find(service, false)->home(key, any);
-    CHECK((now->id == home) == (home != gone));
+    CHECK((now->id == home) == (home != removed));
   }
 }
 
@@ -95,11 +95,11 @@
     const std::string key = std::to_string(*rc::gen::inRange(0, 1000));
     const Backend* one = forward.find(ServiceName("llm"), false)->home(key, accept);
     const Backend* other = backward.find(ServiceName("llm"), false)->home(key, accept);
-    const bool alike = one == other;
-    RC_ASSERT(alike);
-    const bool nobody = std::none_of(backends.begin(), backends.end(), accept);
+    const bool same = one == other;
+    RC_ASSERT(same);
+    const bool none_accepted = std::none_of(backends.begin(), backends.end(), accept);
     const bool found = one != nullptr;
-    RC_ASSERT(found != nobody);
+    RC_ASSERT(found != none_accepted);
     const bool accepted = !found || accept(*one);
     RC_ASSERT(accepted);
   }));
--- a/src/gateway/tests/gap_forecast_test.cc
+++ b/src/gateway/tests/gap_forecast_test.cc
@@ -155,12 +155,12 @@
 TEST_CASE("an engine whose slots are all occupied by long streams is not chosen") {
   World world;
   world.put("full", make_profile(kTypical.output_token, kTypical.prompt_token, 6));
-  world.put("reading", kTypical);
+  world.put("prefilling", kTypical);
   for (std::uint32_t i = 0; i != 6; ++i) {
     world.loads.begin(BackendId("full"), 0);
   }
-  world.loads.begin(BackendId("reading"), 8'000);
-  CHECK(world.choose(short_stream(), 200) == "reading");
+  world.loads.begin(BackendId("prefilling"), 8'000);
+  CHECK(world.choose(short_stream(), 200) == "prefilling");
 }
 
 TEST_CASE("without profiles, or with generous target gaps, only tokens decide the placement") {
--- a/src/gateway/tests/policies_test.cc
+++ b/src/gateway/tests/policies_test.cc
@@ -157,7 +157,7 @@
     std::vector<RetryBudget> nodes(kNodes, RetryBudget(settings));
     const ServiceName service("s");
     std::vector<MonotonicTime> requests;
-    std::vector<MonotonicTime> repeats;
+    std::vector<MonotonicTime> retries;
     MonotonicTime now{};
     for (const auto& [wait, choice] : steps) {
       now += std::chrono::milliseconds(wait * 10);
@@ -169,12 +169,12 @@
       requests.push_back(now);
       for (int i = 0; i != 4; ++i) {
         if (node.spend(service, kNodes, now)) {
-          repeats.push_back(now);
+          retries.push_back(now);
         }
       }
       const auto inside = [&](MonotonicTime at) { return at >= now - settings.window; };
       const auto recent = std::count_if(requests.begin(), requests.end(), inside);
-      const auto again = std::count_if(repeats.begin(), repeats.end(), inside);
+      const auto again = std::count_if(retries.begin(), retries.end(), inside);
       RC_ASSERT(static_cast<double>(again) <=
                 settings.ratio * static_cast<double>(recent) + settings.slack);
     }
@@ -303,26 +303,26 @@
 
 TEST_CASE("a shared part is fetched from an engine that certainly has it cached") {
   FleetState fleet;
-  for (const char* id : {"near", "far", "reader"}) {
+  for (const char* id : {"near", "far", "target"}) {
     Backend engine = make_engine(id, EngineRole::kDecode);
     engine.zone = ZoneName(id == std::string("far") ? "other" : "own");
     fleet.put(engine);
   }
-  const Backend& reader = *fleet.find(BackendId("reader"));
+  const Backend& target = *fleet.find(BackendId("target"));
   const Prompt prompt = parse_prompt("k1:9000,own:500", "9500,10");
   const ServiceName service("llm");
   const MonotonicTime start{};
   LoadTable loads;
   loads.note_prompt(BackendId("near"), prompt, start);
   SUBCASE("not while its prefill may still be running") {
-    CHECK(CacheSources(fleet, loads, service, prompt, start + 100ms).best_for(reader) == nullptr);
+    CHECK(CacheSources(fleet, loads, service, prompt, start + 100ms).best_for(target) == nullptr);
   }
   SUBCASE("from the same zone, even if another engine used the part later") {
     loads.note_prompt(BackendId("far"), prompt, start + 100ms);
     const CacheSources sources(fleet, loads, service, prompt, start + 2s);
-    REQUIRE(sources.best_for(reader) != nullptr);
-    CHECK(sources.best_for(reader)->id.value() == "near");
-    CHECK(sources.tokens_for(reader) == 9000);
+    REQUIRE(sources.best_for(target) != nullptr);
+    CHECK(sources.best_for(target)->id.value() == "near");
+    CHECK(sources.tokens_for(target) == 9000);
   }
   SUBCASE("never from the engine itself") {
     const CacheSources sources(fleet, loads, service, prompt, start + 2s);
@@ -330,16 +330,16 @@
     CHECK(sources.tokens_for(*fleet.find(BackendId("near"))) == 0);
   }
   SUBCASE("not from an unresponsive engine, nor long after the last use") {
-    CHECK(CacheSources(fleet, loads, service, prompt, start + 121s).best_for(reader) == nullptr);
+    CHECK(CacheSources(fleet, loads, service, prompt, start + 121s).best_for(target) == nullptr);
     // Earlier if enough other parts have been prefilled there that it may have been evicted.
     for (std::uint64_t other = 0; other != 11; ++other) {
       for (const char* engine : {"near", "far"}) {
         loads.note_cached(BackendId(engine), other, start + 2s);
       }
     }
-    CHECK(CacheSources(fleet, loads, service, prompt, start + 60s).best_for(reader) == nullptr);
+    CHECK(CacheSources(fleet, loads, service, prompt, start + 60s).best_for(target) == nullptr);
     loads.note_unresponsive(BackendId("near"), start + 2s);
-    CHECK(CacheSources(fleet, loads, service, prompt, start + 2s).best_for(reader) == nullptr);
+    CHECK(CacheSources(fleet, loads, service, prompt, start + 2s).best_for(target) == nullptr);
   }
 }
 
