--- a/src/gateway/gap_forecast.cc
+++ b/src/gateway/gap_forecast.cc
@@ -17,8 +17,8 @@
 /// Share of late gaps; at 1%, a stream of 70 events has a 50% chance to stay on time.
 constexpr double kMaxTypicalLateShare = 0.01;
 /// Steepness of the probability that a stream ends before its deadline, over the ratio of the time
-/// left to the estimated time. Fitted to callers' estimates: half of the streams are longer than
-/// estimated, one in nine more than twice as long.
+/// left to the estimated time. At 3, half of the streams are longer than callers estimate and one
+/// in nine is more than twice as long.
 constexpr double kLengthSpreadExponent = 3;
 
 double to_share(Duration part, Duration whole) {
--- a/src/gateway/load_table.cc
+++ b/src/gateway/load_table.cc
@@ -27,7 +27,7 @@
 constexpr double kMaxAttempts = 12;
 constexpr Duration kFirstEjection = milliseconds(1000);
 constexpr std::uint32_t kMaxDoublings = 2;
-/// The store lists a terminated back end for some heartbeat intervals more.
+/// Covers the heartbeat intervals for which the store still lists a terminated back end.
 constexpr Duration kReplacedEjection = seconds(6);
 /// A response this recent overrides another node's report that the back end is unresponsive.
 constexpr Duration kRecentAnswer = milliseconds(500);
