--- a/src/duties/duty_lease.cc
+++ b/src/duties/duty_lease.cc
@@ -19,25 +19,25 @@
 constexpr std::string_view kComponent = "duties";
 /// A holder that is unfit for this long gives the lease back: views of the fleet differ for a while
 /// when many nodes come and go.
-constexpr Duration kUnfitPatience = std::chrono::seconds(5);
+constexpr Duration kIneligibilityGracePeriod = std::chrono::seconds(5);
 /// Claims of different nodes come apart by up to this part of the pause between them.
 constexpr double kClaimJitter = 0.3;
 
 }  // namespace
 
 template <class Function>
-auto DutyLease::current(Function function) {
-  return [this, number = ++call_, function = std::move(function)](auto result) {
-    if (number == call_) {
+auto DutyLease::if_current(Function function) {
+  return [this, number = ++current_call_, function = std::move(function)](auto result) {
+    if (number == current_call_) {
       function(std::move(result));
     }
   };
 }
 
-DutyLease::DutyLease(World world, DutyLeaseOptions options, Fitness fitness)
+DutyLease::DutyLease(World world, DutyLeaseOptions options, Eligibility eligibility)
     : world_(world),
       options_(std::move(options)),
-      fitness_(std::move(fitness)),
+      eligibility_(std::move(eligibility)),
       machine_(statechart::ChartLibrary::built_in().duty_lease),
       timer_(world.timers),
       deadline_timer_(world.timers) {}
@@ -48,8 +48,8 @@
 
 std::optional<Fence> DutyLease::fence() const {
   const MonotonicTime now = world_.clock.now();
-  const bool sure = machine_.in(State::kHolding) && now < deadline_ && now >= not_before_;
-  return sure ? std::optional(fence_) : std::nullopt;
+  const bool valid = machine_.in(State::kHolding) && now < deadline_ && now >= usable_from_;
+  return valid ? std::optional(fence_) : std::nullopt;
 }
 
 void DutyLease::post(Event event) {
@@ -57,7 +57,7 @@
 }
 
 bool DutyLease::evaluate(Chart::Guard /*guard*/) const {
-  return fitness_.to_claim();
+  return eligibility_.to_claim();
 }
 
 void DutyLease::run(Chart::Action action) {
@@ -77,8 +77,8 @@
     case Chart::Action::kAnnounceGained:
       ++times_gained_;
       log("duties held", "");
-      if (gained_) {
-        gained_();
+      if (on_gained_) {
+        on_gained_();
       }
       return;
     case Chart::Action::kAnnounceLost:
@@ -91,34 +91,34 @@
 }
 
 void DutyLease::schedule_claim() {
-  note_era();
+  update_era();
   lease_.reset();
-  ++call_;
+  ++current_call_;
   deadline_timer_.disarm();
-  timer_.arm(claim_pause(), [this] { post(Event::kClaimDue); });
+  timer_.arm(claim_delay(), [this] { post(Event::kClaimDue); });
 }
 
-Duration DutyLease::claim_pause() const {
-  const Duration between = world_.random.jitter(options_.claim, kClaimJitter);
-  const Duration passed = claimed_at_ ? world_.clock.now() - *claimed_at_ : between;
-  return std::max(options_.look, between - passed);
+Duration DutyLease::claim_delay() const {
+  const Duration period = world_.random.jitter(options_.claim_period, kClaimJitter);
+  const Duration elapsed = claimed_at_ ? world_.clock.now() - *claimed_at_ : period;
+  return std::max(options_.eligibility_poll_period, period - elapsed);
 }
 
 void DutyLease::read_holder() {
   claimed_at_ = world_.clock.now();
-  world_.store.get(options_.holder_key, current([this](auto result) {
+  world_.store.get(options_.holder_key, if_current([this](auto result) {
                      if (!result && result.error().code == StoreErrc::kNotFound) {
                        read_history();
                        return;
                      }
                      if (!result) {
-                       claim_failed("read holder", result.error());
+                       fail_claim("read holder", result.error());
                        return;
                      }
                      const auto record =
                          wire::decode<HolderRecord>(result.value().value.value_or(""));
                      const bool own = record && record.value().node == options_.node &&
-                                      record.value().life == options_.life;
+                                      record.value().incarnation == options_.incarnation;
                      if (!own) {
                        post(Event::kClaimFailed);
                        return;
@@ -126,7 +126,7 @@
                      // An earlier claim was done although its answer was lost.
                      lease_ = record.value().lease;
                      holder_revision_ = result.value().revision;
-                     not_before_ = world_.clock.now() + options_.time_to_live;
+                     usable_from_ = world_.clock.now() + options_.time_to_live;
                      read_offset();
                    }));
 }
@@ -134,9 +134,9 @@
 void DutyLease::read_history() {
   lease_.reset();
   world_.store.get(
-      options_.history_key, current([this](auto result) {
+      options_.history_key, if_current([this](auto result) {
         if (!result && result.error().code != StoreErrc::kNotFound) {
-          claim_failed("read history", result.error());
+          fail_claim("read history", result.error());
           return;
         }
         claim_ = {};
@@ -151,32 +151,32 @@
 }
 
 void DutyLease::read_offset() {
-  world_.store.get(options_.offset_key, current([this](auto result) {
-                     if (!result && result.error().code != StoreErrc::kNotFound) {
-                       claim_failed("read offset of fences", result.error());
-                       return;
-                     }
-                     note_era();
-                     if (result) {
-                       claim_.offset_revision = result.value().revision;
-                       take_offset(result.value().value.value_or(""));
-                     } else {
-                       claim_.offset_revision = {};
-                       // None is there yet, or the first holder's is lost.
-                       claim_.stored_offset =
-                           set_back_at_ ? std::optional(FenceOffset()) : std::nullopt;
-                     }
-                     offset_ = offset_in(era_.value_or(StoreEra()), claim_.stored_offset);
-                     if (lease_) {
-                       fence_ = Fence(holder_revision_.value() + offset_.offset);
-                       post(Event::kFoundOwn);
-                     } else {
-                       grant();
-                     }
-                   }));
+  world_.store.get(
+      options_.offset_key, if_current([this](auto result) {
+        if (!result && result.error().code != StoreErrc::kNotFound) {
+          fail_claim("read offset of fences", result.error());
+          return;
+        }
+        update_era();
+        if (result) {
+          claim_.offset_revision = result.value().revision;
+          apply_stored_offset(result.value().value.value_or(""));
+        } else {
+          claim_.offset_revision = {};
+          // None is there yet, or the first holder's is lost.
+          claim_.stored_offset = rolled_back_at_ ? std::optional(FenceOffset()) : std::nullopt;
+        }
+        offset_ = compute_fence_offset(era_.value_or(StoreEra()), claim_.stored_offset);
+        if (lease_) {
+          fence_ = Fence(holder_revision_.value() + offset_.offset);
+          post(Event::kFoundOwn);
+        } else {
+          grant();
+        }
+      }));
 }
 
-void DutyLease::take_offset(std::string_view bytes) {
+void DutyLease::apply_stored_offset(std::string_view bytes) {
   const auto stored = wire::decode<FenceOffset>(bytes);
   if (!stored) {
     // Made anew from the era alone it is at least as high as any before.
@@ -192,30 +192,30 @@
 
 void DutyLease::grant() {
   const MonotonicTime sent = world_.clock.now();
-  world_.store.grant_lease(options_.time_to_live, current([this, sent](auto result) {
+  world_.store.grant_lease(options_.time_to_live, if_current([this, sent](auto result) {
                              if (!result) {
-                               claim_failed("grant", result.error());
+                               fail_claim("grant", result.error());
                                return;
                              }
                              lease_ = result.value();
-                             note_granted(sent);
+                             extend_deadline(sent);
                              commit();
                            }));
 }
 
 void DutyLease::commit() {
   const HolderHistory& history = claim_.history;
-  not_before_ = earliest_act(history.before == options_.node && history.last != options_.node);
+  usable_from_ = earliest_use(history.previous == options_.node && history.last != options_.node);
   world_.store.commit({.conditions = {{options_.holder_key, {}},
                                       {options_.history_key, claim_.history_revision},
                                       {options_.offset_key, claim_.offset_revision}},
                        .writes = claiming_writes(),
                        .removals = {}},
-                      current([this](auto result) {
+                      if_current([this](auto result) {
                         if (!result) {
-                          claim_failed("commit", result.error());
+                          fail_claim("commit", result.error());
                         } else {
-                          take_over(result.value());
+                          on_committed(result.value());
                         }
                       }));
 }
@@ -224,19 +224,19 @@
 std::vector<shared_store::Write> DutyLease::claiming_writes() const {
   HolderHistory history = claim_.history;
   if (history.last != options_.node) {
-    history = {.last = options_.node, .before = claim_.history.last};
+    history = {.last = options_.node, .previous = claim_.history.last};
   }
   std::vector<shared_store::Write> writes{
       {options_.history_key, wire::encode(history), std::nullopt}};
   if (offset_ != claim_.stored_offset) {
     writes.push_back({options_.offset_key, wire::encode(offset_), std::nullopt});
   }
-  const HolderRecord record{options_.node, options_.life, *lease_};
+  const HolderRecord record{options_.node, options_.incarnation, *lease_};
   writes.push_back({options_.holder_key, wire::encode(record), lease_});
   return writes;
 }
 
-void DutyLease::take_over(StoreRevision revision) {
+void DutyLease::on_committed(StoreRevision revision) {
   if (revision.era() > offset_.era) {
     // The store has been set back meanwhile, and the fence is not above the ones before.
     post(Event::kClaimFailed);
@@ -247,63 +247,65 @@
   post(Event::kClaimed);
 }
 
-MonotonicTime DutyLease::earliest_act(bool held_before) const {
+MonotonicTime DutyLease::earliest_use(bool held_before) const {
   const MonotonicTime now = world_.clock.now();
   const MonotonicTime earliest = held_before ? now + options_.time_to_live : now;
-  const bool set_back = set_back_at_ || (claim_.stored_offset && offset_ != *claim_.stored_offset);
-  return set_back ? std::max(earliest, set_back_at_.value_or(now) + options_.time_to_live)
-                  : earliest;
+  const bool rolled_back =
+      rolled_back_at_ || (claim_.stored_offset && offset_ != *claim_.stored_offset);
+  return rolled_back ? std::max(earliest, rolled_back_at_.value_or(now) + options_.time_to_live)
+                     : earliest;
 }
 
-void DutyLease::note_era() {
+void DutyLease::update_era() {
   const auto era = world_.store.era();
   if (era_ && era && *era > *era_) {
-    set_back_at_ = world_.clock.now();
+    rolled_back_at_ = world_.clock.now();
   }
   era_ = era;
 }
 
-void DutyLease::on_store_set_back() {
-  note_era();
-  set_back_at_ = world_.clock.now();
+void DutyLease::on_store_rolled_back() {
+  update_era();
+  rolled_back_at_ = world_.clock.now();
   post(Event::kLeaseGone);
 }
 
-void DutyLease::claim_failed(std::string_view step, const StoreError& error) {
+void DutyLease::fail_claim(std::string_view step, const StoreError& error) {
   log("claim of duties failed", std::string(step) + ": " + error.message);
   post(Event::kClaimFailed);
 }
 
 /// The lease is sure until its life has passed since the call that granted or renewed it left.
-void DutyLease::note_granted(MonotonicTime sent) {
-  deadline_ = sent + options_.time_to_live - options_.margin;
+void DutyLease::extend_deadline(MonotonicTime sent) {
+  deadline_ = sent + options_.time_to_live - options_.safety_margin;
   deadline_timer_.arm(std::max(deadline_ - world_.clock.now(), Duration::zero()),
                       [this] { post(Event::kDeadlinePassed); });
 }
 
 void DutyLease::schedule_renewal() {
-  timer_.arm(options_.renewal, [this] { post(Event::kRenewalDue); });
+  timer_.arm(options_.renewal_period, [this] { post(Event::kRenewalDue); });
 }
 
 void DutyLease::send_renewal() {
   const MonotonicTime now = world_.clock.now();
-  if (fitness_.to_hold()) {
-    unfit_since_.reset();
-  } else if (!unfit_since_) {
-    unfit_since_ = now;
+  if (eligibility_.to_hold()) {
+    ineligible_since_.reset();
+  } else if (!ineligible_since_) {
+    ineligible_since_ = now;
   }
   // Asked again should no answer come.
-  timer_.arm(options_.retry * 2, [this] { post(Event::kRenewalDue); });
-  world_.store.renew_lease(*lease_, current([this, now](auto result) {
+  timer_.arm(options_.renewal_retry_delay * 2, [this] { post(Event::kRenewalDue); });
+  world_.store.renew_lease(*lease_, if_current([this, now](auto result) {
     if (!result && result.error().code == StoreErrc::kNotFound) {
       post(Event::kLeaseGone);
     } else if (!result) {
-      timer_.arm(options_.retry, [this] { post(Event::kRenewalDue); });
-    } else if (unfit_since_ && world_.clock.now() - *unfit_since_ > kUnfitPatience) {
-      unfit_since_.reset();
+      timer_.arm(options_.renewal_retry_delay, [this] { post(Event::kRenewalDue); });
+    } else if (ineligible_since_ &&
+               world_.clock.now() - *ineligible_since_ > kIneligibilityGracePeriod) {
+      ineligible_since_.reset();
       post(Event::kReleaseRequested);
     } else {
-      note_granted(now);
+      extend_deadline(now);
       post(Event::kRenewed);
     }
   }));
@@ -312,7 +314,7 @@
 void DutyLease::send_release() {
   timer_.disarm();
   deadline_timer_.disarm();
-  ++call_;
+  ++current_call_;
   if (lease_) {
     world_.store.end_lease(*std::exchange(lease_, std::nullopt), [](auto) {});
   }
--- a/src/duties/types.h
+++ b/src/duties/types.h
@@ -16,13 +16,13 @@
 /// What the store says of the holder, under the holder's lease.
 struct HolderRecord {
   NodeId node;
-  std::uint64_t life = 0;  ///< Drawn at the node's start.
+  std::uint64_t incarnation = 0;  ///< Drawn at the node's start.
   shared_store::LeaseId lease;
 
   template <class Archive>
   void serialize(Archive& archive, unsigned /*version*/) {
     archive& node;
-    archive& life;
+    archive& incarnation;
     archive& lease;
   }
 };
@@ -30,12 +30,12 @@
 /// The last two nodes that held the duties; outlasts their leases.
 struct HolderHistory {
   NodeId last;
-  NodeId before;  ///< Another node than `last`; empty if there was none.
+  NodeId previous;  ///< Another node than `last`; empty if there was none.
 
   template <class Archive>
   void serialize(Archive& archive, unsigned /*version*/) {
     archive& last;
-    archive& before;
+    archive& previous;
   }
 };
 
@@ -56,6 +56,7 @@
 
 /// As it has to be in `era`, after `last`: what a later life begins with is above all that any
 /// earlier one can have given out. None before the first holder of all.
-FenceOffset offset_in(shared_store::StoreEra era, const std::optional<FenceOffset>& last);
+FenceOffset compute_fence_offset(shared_store::StoreEra era,
+                                 const std::optional<FenceOffset>& last);
 
 }  // namespace ochrespring::duties
--- a/src/fleet_control/server_controller.cc
+++ b/src/fleet_control/server_controller.cc
@@ -13,7 +13,7 @@
 
 constexpr std::string_view kComponent = "fleet_control";
 
-std::uint32_t regular_in_all(const ServersByZone& servers) {
+std::uint32_t total_regular(const ServersByZone& servers) {
   std::uint32_t sum = 0;
   for (const auto& [zone, present] : servers) {
     sum += present.regular;
@@ -21,7 +21,7 @@
   return sum;
 }
 
-std::uint32_t both_in_all(const ServersByZone& servers) {
+std::uint32_t total_servers(const ServersByZone& servers) {
   std::uint32_t sum = 0;
   for (const auto& [zone, present] : servers) {
     sum += present.regular + present.preemptible;
@@ -43,31 +43,31 @@
 
 void ServerController::step() {
   const auto fence = world_.lease.fence();
-  if (!fence || calling_ || !world_.fleet.routes()) {
+  if (!fence || store_call_pending_ || !world_.fleet.routes()) {
     return;
   }
-  if (std::exchange(forget_, false)) {
+  if (std::exchange(reset_pending_, false)) {
     orders_.clear();
     supplies_.clear();
-    read_needs(*fence);
+    read_stored_needs(*fence);
     return;
   }
   for (const gateway::Service& service : world_.fleet.routes()->configuration().services) {
     if (service.market) {
-      steer(*fence, service);
+      adjust_service(*fence, service);
     }
   }
 }
 
-void ServerController::read_needs(Fence fence) {
-  calling_ = true;
+void ServerController::read_stored_needs(Fence fence) {
+  store_call_pending_ = true;
   world_.store.list(options_.key_prefix, [this, fence](auto result) {
-    calling_ = false;
+    store_call_pending_ = false;
     if (!result) {
       log_store_failure("needs not read", result.error().message);
     }
     if (!result || world_.lease.fence() != fence) {
-      forget_ = true;
+      reset_pending_ = true;
       return;
     }
     for (const shared_store::Change& item : result.value().items) {
@@ -83,26 +83,27 @@
   });
 }
 
-bool ServerController::know_need(const ServiceName& service, const ServersByZone& present) {
-  const std::uint32_t seen = regular_in_all(present);
+bool ServerController::ensure_need_stored(const ServiceName& service,
+                                          const ServersByZone& present) {
+  const std::uint32_t seen = total_regular(present);
   const auto known = needed_.find(service);
   if (known != needed_.end() && known->second >= seen) {
     return true;
   }
-  calling_ = true;
+  store_call_pending_ = true;
   world_.store.commit(
-      {.conditions = {world_.lease.still_held()},
+      {.conditions = {world_.lease.held_condition()},
        .writes = {{options_.key_prefix + service.value(), std::to_string(seen), std::nullopt}},
        .removals = {}},
       [this, service, seen](auto result) {
-        calling_ = false;
+        store_call_pending_ = false;
         if (!result) {
           // Whatever became of it, the next look writes it again.
           log_store_failure("need not written down", result.error().message);
           return;
         }
         needed_[service] = seen;
-        need_rose_at_[service] = world_.clock.now();
+        need_raised_at_[service] = world_.clock.now();
       });
   return false;
 }
@@ -122,54 +123,58 @@
   return servers;
 }
 
-void ServerController::steer(Fence fence, const gateway::Service& service) {
+void ServerController::adjust_service(Fence fence, const gateway::Service& service) {
   const ServersByZone present = count_servers(service);
-  if (calling_ || both_in_all(present) == 0 || !know_need(service.name, present) ||
-      !preemptible_pays(*service.market, present.size(), options_.plan)) {
+  if (store_call_pending_ || total_servers(present) == 0 ||
+      !ensure_need_stored(service.name, present) ||
+      !preemptible_is_cheaper(*service.market, present.size(), options_.plan)) {
     return;
   }
   const std::uint32_t needed = needed_.at(service.name);
-  note_supply(service.name, present);
+  update_supply(service.name, present);
   for (const auto& [zone, wanted] : plan_servers(*service.market, needed, present, options_.plan)) {
     const ZoneServers& there = present.at(zone);
     order(fence, {service.name, zone, true}, wanted.preemptible, there.preemptible,
           service.market->boot);
     order(fence, {service.name, zone, false},
-          regular_now(service.name, wanted.regular, there.regular), there.regular,
+          regular_target(service.name, wanted.regular, there.regular), there.regular,
           service.market->boot);
   }
 }
 
-void ServerController::note_supply(const ServiceName& service, const ServersByZone& present) {
+void ServerController::update_supply(const ServiceName& service, const ServersByZone& present) {
   const MonotonicTime now = world_.clock.now();
   const std::uint32_t needed = needed_.at(service);
   const auto [entry, first] = supplies_.try_emplace(service);
   Supply& supply = entry->second;
-  if (first && regular_in_all(present) < needed) {
+  if (first && total_regular(present) < needed) {
     // Not the servers that the operators began with: an earlier holder may have ordered them.
-    supply.needed_regular_at = now;
+    supply.regular_required_at = now;
   }
-  const std::uint32_t lacking = needed - std::min(needed, both_in_all(present));
-  if (lacking <= static_cast<std::uint32_t>(options_.tolerated_part * needed)) {
-    supply.short_since.reset();
+  const std::uint32_t missing = needed - std::min(needed, total_servers(present));
+  if (missing <= static_cast<std::uint32_t>(options_.tolerated_shortage_ratio * needed)) {
+    supply.shortage_since.reset();
     return;
   }
-  supply.short_since = supply.short_since.value_or(now);
-  supply.needed_regular_at = now;
+  supply.shortage_since = supply.shortage_since.value_or(now);
+  supply.regular_required_at = now;
 }
 
-std::uint32_t ServerController::regular_now(const ServiceName& service, std::uint32_t wanted,
-                                            std::uint32_t present) const {
+std::uint32_t ServerController::regular_target(const ServiceName& service, std::uint32_t wanted,
+                                               std::uint32_t present) const {
   const MonotonicTime now = world_.clock.now();
   const Supply& supply = supplies_.at(service);
   if (wanted > present) {
-    const bool lasts = supply.short_since && now - *supply.short_since >= options_.grow_patience;
-    return lasts ? wanted : present;
-  }
-  const bool calm = !supply.needed_regular_at || now - *supply.needed_regular_at >= options_.calm;
-  const auto rose = need_rose_at_.find(service);
-  const bool settled = rose == need_rose_at_.end() || now - rose->second >= options_.settled;
-  return calm && settled ? wanted : present;
+    const bool persistent =
+        supply.shortage_since && now - *supply.shortage_since >= options_.shortage_grace_period;
+    return persistent ? wanted : present;
+  }
+  const bool supply_stable =
+      !supply.regular_required_at || now - *supply.regular_required_at >= options_.release_delay;
+  const auto raised = need_raised_at_.find(service);
+  const bool need_stable =
+      raised == need_raised_at_.end() || now - raised->second >= options_.need_settling_time;
+  return supply_stable && need_stable ? wanted : present;
 }
 
 void ServerController::order(Fence fence, const ServerPool& pool, std::uint32_t desired,
@@ -182,21 +187,23 @@
   Order& last = orders_[pool];
   const bool first = known == orders_.end();
   const bool changed = first || last.desired != desired;
-  const bool overdue = !first && present != desired && now - last.at > boot + options_.patience;
-  const bool again = last.failed && now - last.at >= options_.retry;
-  if (last.calling || !(changed || overdue || again)) {
+  const bool overdue =
+      !first && present != desired && now - last.at > boot + options_.reorder_delay;
+  const bool retry = last.failed && now - last.at >= options_.retry_delay;
+  if (last.call_pending || !(changed || overdue || retry)) {
     return;
   }
-  last = {.desired = desired, .at = now, .calling = true, .failed = false};
+  last = {.desired = desired, .at = now, .call_pending = true, .failed = false};
   ++statistics_.orders;
   log("servers ordered", pool, desired, present, overdue ? "again" : "");
-  world_.provider.order_servers(fence, pool, desired,
-                                [this, pool](const auto& result) { order_ended(pool, result); });
+  world_.provider.order_servers(
+      fence, pool, desired, [this, pool](const auto& result) { on_order_completed(pool, result); });
 }
 
-void ServerController::order_ended(const ServerPool& pool, const duties::DutyResult& result) {
+void ServerController::on_order_completed(const ServerPool& pool,
+                                          const duties::DutyResult& result) {
   Order& last = orders_[pool];
-  last.calling = false;
+  last.call_pending = false;
   if (result) {
     return;
   }
@@ -207,7 +214,7 @@
   // Of servers that may be taken away there may be none; regular ones are refused for the fence
   // alone.
   if (refused && !pool.preemptible) {
-    world_.lease.give_up();
+    world_.lease.relinquish();
   }
 }
 
--- a/src/fleet_control/server_controller.h
+++ b/src/fleet_control/server_controller.h
@@ -24,22 +24,22 @@
   Duration period{std::chrono::milliseconds(500)};  ///< Between two looks at the fleet.
   /// A pool that still differs this long after its order and its servers' boot is ordered again:
   /// the order, or an older one carried out late, may have gone wrong.
-  Duration patience{std::chrono::seconds(3)};
+  Duration reorder_delay{std::chrono::seconds(3)};
   /// After an order that failed, or was refused because none can be had: when some can is not told.
-  Duration retry{std::chrono::seconds(1)};
+  Duration retry_delay{std::chrono::seconds(1)};
   /// Regular servers are ordered only for what lacks this long: crashed servers and those of a lost
   /// zone mostly come back sooner, and each server that is given up again drains.
-  Duration grow_patience{std::chrono::seconds(10)};
+  Duration shortage_grace_period{std::chrono::seconds(10)};
   /// Part of the servers needed that may lack meanwhile.
-  double tolerated_part = 0.2;
+  double tolerated_shortage_ratio = 0.2;
   /// After servers lacked, regular ones are given up only once none has for this long. Guards the
   /// bound of drains: ordered at once and without this, 72 servers were given up at the same moment
   /// 7.5 s after their order, and a node that was cut off sent ten requests to such servers beyond
   /// the bound (one day of eight, played once).
-  Duration calm{std::chrono::seconds(30)};
+  Duration release_delay{std::chrono::seconds(30)};
   /// Regular servers are given up once the service's need has not risen for this long: when all
   /// start at once, servers register over some seconds.
-  Duration settled{std::chrono::seconds(3)};
+  Duration need_settling_time{std::chrono::seconds(3)};
 };
 
 struct ServerControllerStatistics {
@@ -72,7 +72,7 @@
 
   void start();
   /// This node has begun to hold the duties: nothing of an earlier time counts.
-  void on_gained() { forget_ = true; }
+  void on_gained() { reset_pending_ = true; }
   const ServerControllerStatistics& statistics() const { return statistics_; }
   /// Servers that each service needs, as far as known.
   const std::map<ServiceName, std::uint32_t>& needed() const { return needed_; }
@@ -82,25 +82,25 @@
   struct Order {
     std::uint32_t desired = 0;
     MonotonicTime at{};
-    bool calling = false;
+    bool call_pending = false;
     bool failed = false;
   };
 
   void step();
-  void read_needs(duties::Fence fence);
+  void read_stored_needs(duties::Fence fence);
   /// Returns whether what the service needs is known and written down.
-  bool know_need(const ServiceName& service, const ServersByZone& present);
+  bool ensure_need_stored(const ServiceName& service, const ServersByZone& present);
   ServersByZone count_servers(const gateway::Service& service) const;
-  void steer(duties::Fence fence, const gateway::Service& service);
+  void adjust_service(duties::Fence fence, const gateway::Service& service);
   /// How many regular servers a zone is to have now: not more for what lacks for a short time only,
   /// not fewer before the need is sure.
-  std::uint32_t regular_now(const ServiceName& service, std::uint32_t wanted,
-                            std::uint32_t present) const;
+  std::uint32_t regular_target(const ServiceName& service, std::uint32_t wanted,
+                               std::uint32_t present) const;
   /// Notes whether servers lack.
-  void note_supply(const ServiceName& service, const ServersByZone& present);
+  void update_supply(const ServiceName& service, const ServersByZone& present);
   void order(duties::Fence fence, const ServerPool& pool, std::uint32_t desired,
              std::uint32_t present, Duration boot);
-  void order_ended(const ServerPool& pool, const duties::DutyResult& result);
+  void on_order_completed(const ServerPool& pool, const duties::DutyResult& result);
   void log_store_failure(std::string_view message, std::string_view detail);
   void log(std::string_view message, const ServerPool& pool, std::uint32_t desired,
            std::uint32_t present, std::string_view detail);
@@ -108,15 +108,15 @@
   World world_;
   ServerControllerOptions options_;
   Timer timer_;
-  bool forget_ = true;
-  bool calling_ = false;  ///< The store, for what is needed.
+  bool reset_pending_ = true;
+  bool store_call_pending_ = false;  ///< The store, for what is needed.
   std::map<ServiceName, std::uint32_t> needed_;
-  std::map<ServiceName, MonotonicTime> need_rose_at_;
+  std::map<ServiceName, MonotonicTime> need_raised_at_;
   /// What this holder has seen of a service's servers.
   struct Supply {
-    std::optional<MonotonicTime> short_since;  ///< Since when too many lack; none: they do not.
+    std::optional<MonotonicTime> shortage_since;  ///< Since when too many lack; none: they do not.
     /// When regular servers last had to stand in, or may have: then they are not given up soon.
-    std::optional<MonotonicTime> needed_regular_at;
+    std::optional<MonotonicTime> regular_required_at;
   };
   std::map<ServiceName, Supply> supplies_;
   std::map<ServerPool, Order> orders_;
--- a/src/fleet_control/server_plan.cc
+++ b/src/fleet_control/server_plan.cc
@@ -14,10 +14,10 @@
 /// Preemptible servers of each zone, so that those of all but one have the head room.
 std::uint32_t preemptible_per_zone(std::uint32_t needed, std::size_t zones,
                                    const ServerPlanOptions& options) {
-  return round_up(needed * options.head_room / static_cast<double>(zones - 1));
+  return round_up(needed * options.headroom / static_cast<double>(zones - 1));
 }
 
-std::uint32_t preemptible_in_all(const ServersByZone& servers) {
+std::uint32_t total_preemptible(const ServersByZone& servers) {
   std::uint32_t sum = 0;
   for (const auto& [zone, present] : servers) {
     sum += present.preemptible;
@@ -27,13 +27,13 @@
 
 }  // namespace
 
-bool preemptible_pays(const gateway::ServerMarket& market, std::size_t zones,
-                      const ServerPlanOptions& options) {
+bool preemptible_is_cheaper(const gateway::ServerMarket& market, std::size_t zones,
+                            const ServerPlanOptions& options) {
   if (!market.preemptible_price || zones < 2) {
     return false;
   }
-  const double spares = static_cast<double>(zones) / static_cast<double>(zones - 1);
-  return *market.preemptible_price * options.head_room * spares < 1.0;
+  const double spare_ratio = static_cast<double>(zones) / static_cast<double>(zones - 1);
+  return *market.preemptible_price * options.headroom * spare_ratio < 1.0;
 }
 
 ServersByZone plan_servers(const gateway::ServerMarket& market, std::uint32_t needed,
@@ -41,17 +41,17 @@
   ServersByZone plan;
   const std::size_t zones = present.size();
   const auto share = static_cast<std::uint32_t>(needed / std::max<std::size_t>(1, zones));
-  if (!preemptible_pays(market, zones, options)) {
+  if (!preemptible_is_cheaper(market, zones, options)) {
     return present;
   }
   // What the preemptible servers do not make up for, spread over the zones.
-  const std::uint32_t missing = needed - std::min(needed, preemptible_in_all(present));
-  const std::uint32_t regular_least =
-      std::max(round_up(options.regular_part * share),
+  const std::uint32_t missing = needed - std::min(needed, total_preemptible(present));
+  const std::uint32_t min_regular =
+      std::max(round_up(options.min_regular_ratio * share),
                round_up(static_cast<double>(missing) / static_cast<double>(zones)));
   for (const auto& [zone, servers] : present) {
     ZoneServers& wanted = plan[zone];
-    wanted.regular = std::min(regular_least, market.most);
+    wanted.regular = std::min(min_regular, market.most);
     // Regular servers that are given up make room only once they have gone.
     const std::uint32_t taken = std::max(wanted.regular, servers.regular);
     wanted.preemptible = std::min(preemptible_per_zone(needed, zones, options),
--- a/src/fleet_control/server_plan.h
+++ b/src/fleet_control/server_plan.h
@@ -24,9 +24,9 @@
   /// of one zone. Measured with 140 servers in three zones, one play of two days each: credit after
   /// prices 0.676 and 0.572 with 1, 0.656 and 0.615 with 1.34; two plays of one day differ by as
   /// much.
-  double head_room = 1.0;
+  double headroom = 1.0;
   /// Part of the servers needed that is never given up for preemptible ones.
-  double regular_part = 0.0;
+  double min_regular_ratio = 0.0;
 };
 
 /// What is to be ordered, given what there is: `needed` servers of the service in all zones.
@@ -39,7 +39,7 @@
                            const ServersByZone& present, const ServerPlanOptions& options);
 
 /// Whether preemptible servers pay under that rule in a service of `zones` zones.
-bool preemptible_pays(const gateway::ServerMarket& market, std::size_t zones,
-                      const ServerPlanOptions& options);
+bool preemptible_is_cheaper(const gateway::ServerMarket& market, std::size_t zones,
+                            const ServerPlanOptions& options);
 
 }  // namespace ochrespring::fleet_control
--- a/src/fleet_control/tests/server_controller_test.cc
+++ b/src/fleet_control/tests/server_controller_test.cc
@@ -22,17 +22,17 @@
 const ZoneName kZones[] = {ZoneName("a"), ZoneName("b"), ZoneName("c")};
 
 /// Gives what is ordered after a boot, and takes away at once.
-class PlayedProvider final : public ServerProvider {
+class FakeProvider final : public ServerProvider {
  public:
-  PlayedProvider(simulation::VirtualTime& time, gateway::FleetState& fleet)
+  FakeProvider(simulation::VirtualTime& time, gateway::FleetState& fleet)
       : time_(time), fleet_(fleet) {}
 
   void order_servers(duties::Fence /*fence*/, const ServerPool& pool, std::uint32_t desired,
                      duties::DutyCallback done) override {
     ++orders;
-    if (pool.preemptible && dry) {
+    if (pool.preemptible && exhausted) {
       answer(done, duties::DutyResult(fail(DutyErrc::kRefused, "none")));
-    } else if (silent) {
+    } else if (loses_orders) {
       answer(done, duties::DutyResult(fail(DutyErrc::kUnknownEffect, "silent")));
     } else {
       set(pool, desired);
@@ -69,8 +69,8 @@
   }
 
   std::map<ServerPool, std::uint32_t> ordered;
-  bool dry = false;
-  bool silent = false;
+  bool exhausted = false;
+  bool loses_orders = false;
   std::uint64_t orders = 0;
 
  private:
@@ -129,7 +129,7 @@
   SeededRandom random{3};
   logging::NullLogger logger;
   gateway::FleetState fleet;
-  PlayedProvider provider{time, fleet};
+  FakeProvider provider{time, fleet};
   duties::DutyLease lease{{time, time, random, store, logger},
                           {.holder_key = "holder",
                            .history_key = "history",
@@ -143,130 +143,130 @@
 }  // namespace
 
 TEST_CASE("cheap servers take the place of the others, with spares for a zone") {
-  ControllerFixture world;
-  world.put_regular(8);
-  world.advance(30s);
-  CHECK(world.provider.count(false) == 0);
-  CHECK(world.provider.count(true) == 36);
-  CHECK(world.state.items.at("servers/llm").value == "24");
-  const std::uint64_t orders = world.provider.orders;
-  world.advance(60s);
-  CHECK(world.provider.orders == orders);
+  ControllerFixture fixture;
+  fixture.put_regular(8);
+  fixture.advance(30s);
+  CHECK(fixture.provider.count(false) == 0);
+  CHECK(fixture.provider.count(true) == 36);
+  CHECK(fixture.state.items.at("servers/llm").value == "24");
+  const std::uint64_t orders = fixture.provider.orders;
+  fixture.advance(60s);
+  CHECK(fixture.provider.orders == orders);
 }
 
 TEST_CASE("servers that register one after the other are all counted before any is given up") {
-  ControllerFixture world;
+  ControllerFixture fixture;
   for (std::uint32_t each = 1; each <= 8; ++each) {
-    world.put_regular(each);
-    world.advance(700ms);
-    CHECK(world.provider.count(false) == 3 * each);
+    fixture.put_regular(each);
+    fixture.advance(700ms);
+    CHECK(fixture.provider.count(false) == 3 * each);
   }
-  world.advance(30s);
-  CHECK(world.state.items.at("servers/llm").value == "24");
-  CHECK(world.provider.count(true) == 36);
+  fixture.advance(30s);
+  CHECK(fixture.state.items.at("servers/llm").value == "24");
+  CHECK(fixture.provider.count(true) == 36);
 }
 
 TEST_CASE("a zone that lost its cheap servers gets them back, and no dear ones meanwhile") {
-  ControllerFixture world;
-  world.put_regular(8);
-  world.advance(30s);
-  world.provider.put(ControllerFixture::pool(2, true), 0);
+  ControllerFixture fixture;
+  fixture.put_regular(8);
+  fixture.advance(30s);
+  fixture.provider.put(ControllerFixture::pool(2, true), 0);
   for (std::uint32_t number = 1; number <= 12; ++number) {
-    world.fleet.remove(gateway::BackendId("cp" + std::to_string(number)));
+    fixture.fleet.remove(gateway::BackendId("cp" + std::to_string(number)));
   }
-  world.provider.dry = true;
-  world.advance(9s);
-  CHECK(world.provider.count(false) == 0);
-  world.provider.dry = false;
-  world.advance(12s);
-  CHECK(world.provider.count(true) == 36);
-  CHECK(world.lease.fence());
+  fixture.provider.exhausted = true;
+  fixture.advance(9s);
+  CHECK(fixture.provider.count(false) == 0);
+  fixture.provider.exhausted = false;
+  fixture.advance(12s);
+  CHECK(fixture.provider.count(true) == 36);
+  CHECK(fixture.lease.fence());
 }
 
 TEST_CASE("servers that could not be had are asked for every second") {
-  ControllerFixture world;
-  world.put_regular(8);
-  world.provider.dry = true;
-  world.advance(5s);
-  const std::uint64_t before = world.provider.orders;
-  world.advance(10s);
+  ControllerFixture fixture;
+  fixture.put_regular(8);
+  fixture.provider.exhausted = true;
+  fixture.advance(5s);
+  const std::uint64_t before = fixture.provider.orders;
+  fixture.advance(10s);
   // Of three zones.
-  CHECK(world.provider.orders >= before + 27);
-  CHECK(world.provider.orders <= before + 33);
-  CHECK(world.controller.statistics().refused == world.provider.orders);
+  CHECK(fixture.provider.orders >= before + 27);
+  CHECK(fixture.provider.orders <= before + 33);
+  CHECK(fixture.controller.statistics().refused == fixture.provider.orders);
 }
 
 TEST_CASE("where no cheap servers are to be had for long, dear ones fill the gap") {
-  ControllerFixture world;
-  world.put_regular(8);
-  world.advance(30s);
-  world.provider.dry = true;
+  ControllerFixture fixture;
+  fixture.put_regular(8);
+  fixture.advance(30s);
+  fixture.provider.exhausted = true;
   for (std::size_t zone = 1; zone != 3; ++zone) {
-    world.provider.put(ControllerFixture::pool(zone, true), 0);
+    fixture.provider.put(ControllerFixture::pool(zone, true), 0);
     for (std::uint32_t number = 1; number <= 12; ++number) {
-      world.fleet.remove(gateway::BackendId(kZones[zone].value() + "p" + std::to_string(number)));
+      fixture.fleet.remove(gateway::BackendId(kZones[zone].value() + "p" + std::to_string(number)));
     }
   }
-  world.advance(13s);
-  CHECK(world.provider.count(false) == 0);
-  world.advance(2s);
-  CHECK(world.provider.count(false) == 12);
+  fixture.advance(13s);
+  CHECK(fixture.provider.count(false) == 0);
+  fixture.advance(2s);
+  CHECK(fixture.provider.count(false) == 12);
   // They stay for a while once cheap ones are back: what is given up drains.
-  world.provider.dry = false;
-  world.advance(25s);
-  CHECK(world.provider.count(true) >= 24);
-  CHECK(world.provider.count(false) == 12);
-  world.advance(20s);
-  CHECK(world.provider.count(false) == 0);
+  fixture.provider.exhausted = false;
+  fixture.advance(25s);
+  CHECK(fixture.provider.count(true) >= 24);
+  CHECK(fixture.provider.count(false) == 12);
+  fixture.advance(20s);
+  CHECK(fixture.provider.count(false) == 0);
 }
 
 TEST_CASE("a new holder gives nothing up of what lacked a moment ago") {
-  ControllerFixture world;
-  world.put_regular(8);
-  world.advance(30s);
-  world.provider.put(ControllerFixture::pool(0, false), 4);
-  world.controller.on_gained();
-  world.advance(25s);
-  CHECK(world.provider.count(false) == 4);
-  world.advance(10s);
-  CHECK(world.provider.count(false) == 0);
+  ControllerFixture fixture;
+  fixture.put_regular(8);
+  fixture.advance(30s);
+  fixture.provider.put(ControllerFixture::pool(0, false), 4);
+  fixture.controller.on_gained();
+  fixture.advance(25s);
+  CHECK(fixture.provider.count(false) == 4);
+  fixture.advance(10s);
+  CHECK(fixture.provider.count(false) == 0);
 }
 
 TEST_CASE("crashed servers that come back soon are not made up for") {
-  ControllerFixture world;
-  world.put_regular(8);
-  world.advance(30s);
+  ControllerFixture fixture;
+  fixture.put_regular(8);
+  fixture.advance(30s);
   // A quarter of all, two thirds of them in one zone.
   for (std::uint32_t number = 1; number <= 12; ++number) {
-    world.fleet.remove(gateway::BackendId("cp" + std::to_string(number)));
+    fixture.fleet.remove(gateway::BackendId("cp" + std::to_string(number)));
   }
   for (std::uint32_t number = 1; number <= 8; ++number) {
-    world.fleet.remove(gateway::BackendId("bp" + std::to_string(number)));
+    fixture.fleet.remove(gateway::BackendId("bp" + std::to_string(number)));
   }
-  world.advance(1500ms);
-  world.provider.put(ControllerFixture::pool(1, true), 12);
-  world.advance(10s);
-  for (const auto& [pool, desired] : world.provider.ordered) {
+  fixture.advance(1500ms);
+  fixture.provider.put(ControllerFixture::pool(1, true), 12);
+  fixture.advance(10s);
+  for (const auto& [pool, desired] : fixture.provider.ordered) {
     CHECK((pool.preemptible || desired == 0));
   }
 }
 
 TEST_CASE("an order that had no effect is given again") {
-  ControllerFixture world;
-  world.put_regular(8);
-  world.provider.silent = true;
-  world.advance(10s);
-  CHECK(world.provider.count(true) == 0);
-  CHECK(world.provider.orders < 30);
-  world.provider.silent = false;
-  world.advance(30s);
-  CHECK(world.provider.count(true) == 36);
+  ControllerFixture fixture;
+  fixture.put_regular(8);
+  fixture.provider.loses_orders = true;
+  fixture.advance(10s);
+  CHECK(fixture.provider.count(true) == 0);
+  CHECK(fixture.provider.orders < 30);
+  fixture.provider.loses_orders = false;
+  fixture.advance(30s);
+  CHECK(fixture.provider.count(true) == 36);
 }
 
 TEST_CASE("nothing is ordered without the lease") {
-  ControllerFixture world;
-  world.put_regular(8);
-  world.state.down = true;
-  world.advance(30s);
-  CHECK(world.provider.orders == 0);
+  ControllerFixture fixture;
+  fixture.put_regular(8);
+  fixture.state.down = true;
+  fixture.advance(30s);
+  CHECK(fixture.provider.orders == 0);
 }
--- a/src/fleet_control/tests/server_plan_test.cc
+++ b/src/fleet_control/tests/server_plan_test.cc
@@ -24,11 +24,11 @@
 }  // namespace
 
 TEST_CASE("preemptible servers pay if they do with spares for a zone") {
-  CHECK(preemptible_pays(make_market(0.18), 3, {}));
-  CHECK_FALSE(preemptible_pays(make_market(0.7), 3, {}));
-  CHECK_FALSE(preemptible_pays(make_market(0.18), 1, {}));
-  CHECK_FALSE(preemptible_pays(gateway::ServerMarket{.least = 1, .most = 94}, 3, {}));
-  CHECK_FALSE(preemptible_pays(make_market(0.5), 3, {.head_room = 1.5}));
+  CHECK(preemptible_is_cheaper(make_market(0.18), 3, {}));
+  CHECK_FALSE(preemptible_is_cheaper(make_market(0.7), 3, {}));
+  CHECK_FALSE(preemptible_is_cheaper(make_market(0.18), 1, {}));
+  CHECK_FALSE(preemptible_is_cheaper(gateway::ServerMarket{.least = 1, .most = 94}, 3, {}));
+  CHECK_FALSE(preemptible_is_cheaper(make_market(0.5), 3, {.headroom = 1.5}));
 }
 
 TEST_CASE("regular servers stay until preemptible ones take requests, and make room then") {
@@ -73,7 +73,7 @@
       needed += regular;
     }
     for (const auto& [zone, wanted] :
-         plan_servers(market, needed, present, {.regular_part = 0.1})) {
+         plan_servers(market, needed, present, {.min_regular_ratio = 0.1})) {
       RC_ASSERT(wanted.regular + wanted.preemptible <= market.most);
       RC_ASSERT(wanted.regular + wanted.preemptible >= market.least);
     }
--- a/src/gateway/attempt_starter.cc
+++ b/src/gateway/attempt_starter.cc
@@ -52,7 +52,7 @@
       make_backend_request(input.request, environment_.names, make_call(attempt, backend, input));
   if (SendGate* gate = environment_.gate) {
     gate->note_send(backend.id, attempt.started);
-    sent.may_leave = [gate, &clock = environment_.clock, id = backend.id] {
+    sent.may_send = [gate, &clock = environment_.clock, id = backend.id] {
       return gate->may_send(id, clock.now());
     };
   }
--- a/src/gateway/backend_request.cc
+++ b/src/gateway/backend_request.cc
@@ -79,7 +79,7 @@
   sent.body = request.body;
   sent.timeout = call.left;
   sent.connect_timeout = std::min(kConnectTimeout, call.left);
-  sent.most_idle = call.most_idle;
+  sent.max_idle_connections = call.most_idle;
   sent.close_ends_answer = true;
   sent.echo = http::Header{names.request_id,
                            std::string(http::find_header(request.headers, names.request_id))};
--- a/src/gateway/tests/backed_off_request_test.cc
+++ b/src/gateway/tests/backed_off_request_test.cc
@@ -31,7 +31,7 @@
   }
   /// The connection is there; nothing leaves if the request is not wanted any more.
   bool connect() {
-    const bool leaves = last().request.may_leave();
+    const bool leaves = last().request.may_send();
     if (!leaves) {
       last().fail(http::HttpErrc::kWithdrawn, false);
     }
--- a/src/gateway/tests/request_session_test.cc
+++ b/src/gateway/tests/request_session_test.cc
@@ -426,7 +426,7 @@
     Gateway one_of_many(std::move(made), [](auto done) { done(true); });
     auto caller = std::make_shared<testing::PlayedCaller>();
     one_of_many.handle({"POST", "/once/x", "", {{"host", "h"}}, "body"}, caller);
-    CHECK(last().request.most_idle * nodes <= 100);
+    CHECK(last().request.max_idle_connections * nodes <= 100);
     last().answer(200, {signature()}, "ok");
   }
 }
--- a/src/gateway_node/gateway_node.cc
+++ b/src/gateway_node/gateway_node.cc
@@ -143,8 +143,8 @@
       ready_(loop, server_at(settings_.ready_listen)),
       directory_(loop, server_at(settings_.directory_listen)),
       stop_(loop, {[this] { leave(); }, [this] { callers_.stop_accepting(); }, [this] { finish(); },
-                   [this] { return callers_.held(); }, [this] { gateway_.end_at(ends_at_); },
-                   [this] { end_requests(); }}) {}
+                   [this] { return callers_.requests_in_progress(); },
+                   [this] { gateway_.end_at(ends_at_); }, [this] { end_requests(); }}) {}
 
 Result<void, http::HttpError> GatewayNode::start() {
   callers_.route("/",
@@ -178,7 +178,7 @@
     loads_.forget(backend.id);
     peer_news_.forget(backend.id);
     profile_exchange_.forget(backend.id);
-    client_.forget(backend.address);
+    client_.close_idle_connections(backend.address);
     quarantine_.note_gone(backend);
     rate_limiter_.forget(backend.id);
     gateway_.on_backend_gone(backend.id);
@@ -260,7 +260,7 @@
 Result<void, http::HttpError> GatewayNode::listen_to_peers() {
   BOOST_OUTCOME_TRY(socket, peer_load::DatagramSocket::bind(
                                 loop_, settings_.peer_listen, [this](std::string_view bytes) {
-                                  peer_news_.receive(bytes, loop_.held_up());
+                                  peer_news_.receive(bytes, loop_.stall_duration());
                                 }));
   peer_socket_ = std::move(socket);
   return outcome::success();
@@ -293,7 +293,7 @@
 /// partly out.
 std::vector<logging::Field> GatewayNode::held_fields() const {
   const gateway::HeldRequests requests = gateway_.held();
-  return {{"held", static_cast<std::uint64_t>(callers_.held())},
+  return {{"held", static_cast<std::uint64_t>(callers_.requests_in_progress())},
           {"at_configuration", static_cast<std::uint64_t>(requests.at_configuration)},
           {"at_back_ends", static_cast<std::uint64_t>(requests.at_back_ends)},
           {"queued", static_cast<std::uint64_t>(requests.queued)}};
--- a/src/gateway_node/node_duties.cc
+++ b/src/gateway_node/node_duties.cc
@@ -22,7 +22,7 @@
               .history_key = options.key_prefix + "history",
               .offset_key = options.key_prefix + "fence-offset",
               .node = options.node,
-              .life = world.random.next(),
+              .incarnation = world.random.next(),
               .time_to_live = options.lease},
              {.to_claim = [this, first = peers.fitness.to_claim] { return may_claim(first); },
               .to_hold = peers.fitness.to_hold}) {
@@ -30,18 +30,18 @@
     wall_.emplace(world.clock, world.timers);
     meter_.emplace(*wall_, world.timers,
                    usage::UsageMeterOptions{.node = options.node,
-                                            .life = world.random.next(),
+                                            .incarnation = world.random.next(),
                                             .windows = options.usage_windows,
                                             .retention = options.usage_due},
                    [this, tell = peers.tell](const usage::UsageReport& report) {
-                     tally_.take(report);
+                     tally_.add(report);
                      tell(report);
                    });
     reporter_.emplace(usage::UsageReporter::World{world.timers, world.store, world.logger, *wall_,
                                                   lease_, tally_, *world.usage_sink},
                       usage::UsageReporterOptions{.key_prefix = options.key_prefix + "usage/",
                                                   .windows = options.usage_windows,
-                                                  .due = options.usage_due});
+                                                  .report_deadline = options.usage_due});
   }
   if (world.server_provider != nullptr) {
     servers_.emplace(
@@ -100,9 +100,9 @@
 }
 
 void NodeDuties::on_store_set_back() {
-  lease_.on_store_set_back();
+  lease_.on_store_rolled_back();
   if (reporter_) {
-    reporter_->on_store_set_back();
+    reporter_->on_store_rolled_back();
   }
 }
 
--- a/src/gateway_node/node_duties.h
+++ b/src/gateway_node/node_duties.h
@@ -44,8 +44,8 @@
     fleet_control::ServerProvider* server_provider;  ///< Null: no servers are ordered.
   };
   struct Peers {
-    duties::DutyLease::Fitness fitness;  ///< By what this node knows of the others.
-    usage::UsageMeter::Send tell;        ///< Tells this node's usage to those that may report it.
+    duties::DutyLease::Eligibility fitness;  ///< By what this node knows of the others.
+    usage::UsageMeter::Send tell;  ///< Tells this node's usage to those that may report it.
   };
 
   NodeDuties(World world, const NodeDutiesOptions& options, const Peers& peers);
@@ -54,7 +54,7 @@
   /// A request of this node has begun to run.
   void note_run(const TenantName& tenant, Duration ago);
   /// Another node's usage.
-  void take_usage(const usage::UsageReport& report) { tally_.take(report); }
+  void take_usage(const usage::UsageReport& report) { tally_.add(report); }
   /// This node takes no more requests.
   void leave();
   /// The store has come back from an older copy.
--- a/src/gateway_node/settings.cc
+++ b/src/gateway_node/settings.cc
@@ -212,12 +212,12 @@
        "Preemptible servers ordered for each one needed, after the loss of a zone", kHeadRoomRule,
        "1", false,
        [](const std::string& text, Settings& target) {
-         return read_real(text, 0, 10, target.server_plan.head_room);
+         return read_real(text, 0, 10, target.server_plan.headroom);
        }},
       {"regular-part", "Part of the servers needed that is never given up for preemptible ones",
        kPartRule, "0", false,
        [](const std::string& text, Settings& target) {
-         return read_real(text, 0, 1, target.server_plan.regular_part);
+         return read_real(text, 0, 1, target.server_plan.min_regular_ratio);
        }},
       {"log-level", "Least level of log lines", settings::kLevelRule, "info", false,
        [](const std::string& text, Settings& target) {
--- a/src/gateway_node/tests/crash_fleet.h
+++ b/src/gateway_node/tests/crash_fleet.h
@@ -404,7 +404,7 @@
         if (!exchange->open) {
           return;
         }
-        if (exchange->request.may_leave && !exchange->request.may_leave()) {
+        if (exchange->request.may_send && !exchange->request.may_send()) {
           exchange->observer->on_failure({http::HttpErrc::kWithdrawn, "withdrawn"}, false);
           return;
         }
--- a/src/gateway_node/tests/settings_test.cc
+++ b/src/gateway_node/tests/settings_test.cc
@@ -95,7 +95,7 @@
   CHECK_FALSE(settings.orders_servers);
   CHECK(settings.usage_window == std::chrono::milliseconds(2500));
   CHECK(settings.usage_due == std::chrono::seconds(10));
-  CHECK(settings.server_plan.head_room == 1.5);
+  CHECK(settings.server_plan.headroom == 1.5);
   arguments.emplace_back("--regular-part=2");
   const auto mistaken = parse_command_line(arguments);
   REQUIRE_FALSE(mistaken);
--- a/src/http/client.cc
+++ b/src/http/client.cc
@@ -15,7 +15,7 @@
 namespace {
 
 /// How long a probed connection has to stay open: several round trips within a network of ours.
-constexpr Duration kProbeHold = std::chrono::milliseconds(150);
+constexpr Duration kProbeOpenTime = std::chrono::milliseconds(150);
 
 /// The caller's handle.
 class ExchangeHandle final : public Exchange {
@@ -118,7 +118,7 @@
       finish(ProbeResult::kRefused);
       return;
     }
-    timeout_.arm(kProbeHold, [this] { finish(ProbeResult::kAccepted); });
+    timeout_.arm(kProbeOpenTime, [this] { finish(ProbeResult::kAccepted); });
     connection_->set_reading(true);
   }
   void on_readable() override {
@@ -196,8 +196,8 @@
   return state_->pool.has(endpoint.value());
 }
 
-void Client::forget(const Endpoint& endpoint) {
-  state_->pool.forget(endpoint.value());
+void Client::close_idle_connections(const Endpoint& endpoint) {
+  state_->pool.close_all(endpoint.value());
 }
 
 const ClientStatistics& Client::statistics() const {
--- a/src/http/client.h
+++ b/src/http/client.h
@@ -26,8 +26,8 @@
   std::string body;
   Duration timeout{std::chrono::seconds(5)};          ///< For the whole exchange.
   Duration connect_timeout{std::chrono::seconds(5)};  ///< For a new connection; within `timeout`.
-  std::size_t most_idle = 64;     ///< Connections to this endpoint kept while idle.
-  bool fresh_connection = false;  ///< Do not reuse a pooled connection.
+  std::size_t max_idle_connections = 64;  ///< Connections to this endpoint kept while idle.
+  bool fresh_connection = false;          ///< Do not reuse a pooled connection.
   /// A header that the answer repeats, with the value it must have. An answer that names another
   /// value belongs to another request: it is read over, and the connection not used again.
   std::optional<Header> echo;
@@ -36,7 +36,7 @@
   /// Checked when the connection is there: at or after this, no byte leaves (kExpired).
   MonotonicTime send_before = MonotonicTime::max();
   /// Asked when the connection is there: where it says no, no byte leaves (kWithdrawn). Null: yes.
-  std::function<bool()> may_leave{};
+  std::function<bool()> may_send{};
 };
 
 /// Follows one exchange. Called on the loop, never inside start(); after on_complete or on_failure
@@ -96,7 +96,7 @@
   /// Opens a connection and, if it is accepted and stays open for 150 ms, closes it without a byte.
   void probe(const Endpoint& endpoint, Duration timeout, std::function<void(ProbeResult)> done);
   /// Closes the idle connections to an endpoint.
-  void forget(const Endpoint& endpoint);
+  void close_idle_connections(const Endpoint& endpoint);
   bool has_idle_connection(const Endpoint& endpoint) const;
   const ClientStatistics& statistics() const;
 
--- a/src/http/client_connection.cc
+++ b/src/http/client_connection.cc
@@ -16,8 +16,8 @@
 
 namespace {
 
-constexpr int kProbeSeconds = 1;
-constexpr int kProbes = 2;
+constexpr int kKeepAliveProbeSeconds = 1;
+constexpr int kKeepAliveProbes = 2;
 
 void set_option(int descriptor, int option, int value) {
   ::setsockopt(descriptor, IPPROTO_TCP, option, &value, sizeof(value));
@@ -30,7 +30,7 @@
 }  // namespace
 
 Result<std::unique_ptr<ClientConnection>, HttpError> ClientConnection::open(
-    EventLoop& loop, const SocketAddress& address, Duration silence) {
+    EventLoop& loop, const SocketAddress& address, Duration max_unacknowledged) {
   const int descriptor =
       ::socket(address.storage.ss_family, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (descriptor < 0) {
@@ -40,12 +40,13 @@
   // A machine behind a cut says nothing: probes end the connection.
   const int on = 1;
   ::setsockopt(descriptor, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof(on));
-  set_option(descriptor, TCP_KEEPIDLE, kProbeSeconds);
-  set_option(descriptor, TCP_KEEPINTVL, kProbeSeconds);
-  set_option(descriptor, TCP_KEEPCNT, kProbes);
+  set_option(descriptor, TCP_KEEPIDLE, kKeepAliveProbeSeconds);
+  set_option(descriptor, TCP_KEEPINTVL, kKeepAliveProbeSeconds);
+  set_option(descriptor, TCP_KEEPCNT, kKeepAliveProbes);
   set_option(
       descriptor, TCP_USER_TIMEOUT,
-      static_cast<int>(std::chrono::duration_cast<std::chrono::milliseconds>(silence).count()));
+      static_cast<int>(
+          std::chrono::duration_cast<std::chrono::milliseconds>(max_unacknowledged).count()));
   if (::connect(descriptor, address.get(), address.length) != 0 && errno != EINPROGRESS) {
     const int error = errno;
     ::close(descriptor);
@@ -73,7 +74,7 @@
     return {IoStatus::kClosed, 0};
   }
   if (errno == ETIMEDOUT) {
-    return {IoStatus::kSilent, 0};
+    return {IoStatus::kUnresponsive, 0};
   }
   return {is_retry(errno) ? IoStatus::kAgain : IoStatus::kFailed, 0};
 }
@@ -104,7 +105,7 @@
   h2o_socket_notify_write(socket_, on_write_event);
 }
 
-bool ClientConnection::has_news() const {
+bool ClientConnection::has_pending_input() const {
   char byte = 0;
   const ssize_t count =
       ::recv(h2o_socket_get_fd(socket_), &byte, sizeof(byte), MSG_PEEK | MSG_DONTWAIT);
--- a/src/http/client_connection.h
+++ b/src/http/client_connection.h
@@ -18,11 +18,11 @@
 
 /// How one read or write ended.
 enum class IoStatus : std::uint8_t {
-  kDone,    ///< Bytes were moved.
-  kAgain,   ///< Nothing now; wait for the next event.
-  kClosed,  ///< The peer has closed its side in order.
-  kFailed,  ///< Reset or unreachable.
-  kSilent,  ///< The peer has not acknowledged bytes or probes for too long.
+  kDone,          ///< Bytes were moved.
+  kAgain,         ///< Nothing now; wait for the next event.
+  kClosed,        ///< The peer has closed its side in order.
+  kFailed,        ///< Reset or unreachable.
+  kUnresponsive,  ///< The peer has not acknowledged bytes or probes for too long.
 };
 
 struct IoResult {
@@ -46,7 +46,7 @@
   /// Begins to connect. `silence` bounds how long sent bytes may stay unacknowledged.
   static Result<std::unique_ptr<ClientConnection>, HttpError> open(EventLoop& loop,
                                                                    const SocketAddress& address,
-                                                                   Duration silence);
+                                                                   Duration max_unacknowledged);
   ~ClientConnection();
   ClientConnection(const ClientConnection&) = delete;
   ClientConnection& operator=(const ClientConnection&) = delete;
@@ -59,7 +59,7 @@
   /// Reports once when more can be written.
   void await_writable();
   /// Whether the peer has sent anything, or closed, that was not read yet.
-  bool has_news() const;
+  bool has_pending_input() const;
 
  private:
   explicit ClientConnection(h2o_socket_t* socket) : socket_(socket) {}
--- a/src/http/client_exchange.cc
+++ b/src/http/client_exchange.cc
@@ -17,13 +17,13 @@
 using std::chrono::seconds;
 
 /// How long an idle connection is kept if the peer does not say. Shorter than servers keep theirs.
-constexpr Duration kDefaultKeep = seconds(4);
+constexpr Duration kDefaultKeepAlive = seconds(4);
 /// Taken off what the peer says, so that we close first.
-constexpr Duration kKeepMargin = milliseconds(700);
+constexpr Duration kKeepAliveMargin = milliseconds(700);
 /// Longest silence of a peer while sent bytes are unacknowledged.
-constexpr Duration kSilence = milliseconds(800);
+constexpr Duration kMaxUnacknowledgedTime = milliseconds(800);
 constexpr std::size_t kReadBytes = 32U << 10U;
-constexpr std::size_t kLargestHead = 64U << 10U;
+constexpr std::size_t kMaxHeadBytes = 64U << 10U;
 
 std::string make_head(const ClientRequest& request) {
   std::string head;
@@ -53,12 +53,12 @@
   constexpr std::string_view kName = "timeout=";
   const std::size_t at = text.find(kName);
   if (at == std::string_view::npos) {
-    return kDefaultKeep;
+    return kDefaultKeepAlive;
   }
   const std::string_view digits = text.substr(at + kName.size());
   int value = 0;
   std::from_chars(digits.data(), digits.data() + digits.size(), value);
-  return std::max<Duration>(seconds(value) - kKeepMargin, Duration::zero());
+  return std::max<Duration>(seconds(value) - kKeepAliveMargin, Duration::zero());
 }
 
 bool has_no_body(std::uint16_t status, const std::string& method) {
@@ -86,8 +86,8 @@
     return;
   }
   timeout_.arm(request_.timeout, [this] {
-    end_with_failure(sent_ ? HttpErrc::kTimeout : HttpErrc::kConnect,
-                     sent_ ? "no whole answer in time" : "no connection in time");
+    fail_with(sent_ ? HttpErrc::kTimeout : HttpErrc::kConnect,
+              sent_ ? "no whole answer in time" : "no connection in time");
   });
   if (!request_.fresh_connection) {
     connection_ = pool_.take(request_.endpoint.value());
@@ -96,10 +96,10 @@
     reused_ = true;
     ++statistics_.connections_reused;
     connection_->set_listener(this);
-    loop_.post([self = self_] { self->begin(); });
+    loop_.post([self = self_] { self->send_request(); });
     return;
   }
-  auto opened = ClientConnection::open(loop_, address.value(), kSilence);
+  auto opened = ClientConnection::open(loop_, address.value(), kMaxUnacknowledgedTime);
   if (!opened) {
     fail_later(opened.error().code, opened.error().message);
     return;
@@ -108,12 +108,12 @@
   connection_ = std::move(opened.value());
   connection_->set_listener(this);
   connect_timeout_.arm(request_.connect_timeout,
-                       [this] { end_with_failure(HttpErrc::kConnect, "no connection in time"); });
+                       [this] { fail_with(HttpErrc::kConnect, "no connection in time"); });
 }
 
 void ClientExchange::fail_later(HttpErrc code, std::string message) {
   loop_.post([self = self_, code, text = std::move(message)]() mutable {
-    self->end_with_failure(code, std::move(text));
+    self->fail_with(code, std::move(text));
   });
 }
 
@@ -127,7 +127,7 @@
 
 void ClientExchange::set_reading(bool reading) {
   reading_ = reading;
-  if (connection_ && head_taken_) {
+  if (connection_ && head_received_) {
     connection_->set_reading(reading);
   }
 }
@@ -135,22 +135,22 @@
 void ClientExchange::on_connected(bool success) {
   connect_timeout_.disarm();
   if (!success) {
-    end_with_failure(HttpErrc::kConnect, "connect to " + request_.endpoint.value() + " failed");
+    fail_with(HttpErrc::kConnect, "connect to " + request_.endpoint.value() + " failed");
     return;
   }
-  begin();
+  send_request();
 }
 
-void ClientExchange::begin() {
+void ClientExchange::send_request() {
   if (observer_ == nullptr || !connection_) {
     return;
   }
   if (system_clock().now() >= request_.send_before) {
-    end_with_failure(HttpErrc::kExpired, "the time to send by has passed");
+    fail_with(HttpErrc::kExpired, "the time to send by has passed");
     return;
   }
-  if (request_.may_leave && !request_.may_leave()) {
-    end_with_failure(HttpErrc::kWithdrawn, "not wanted any more");
+  if (request_.may_send && !request_.may_send()) {
+    fail_with(HttpErrc::kWithdrawn, "not wanted any more");
     return;
   }
   connection_->set_reading(true);
@@ -188,41 +188,41 @@
   }
   const std::shared_ptr<ClientExchange> keep = shared_from_this();
   if (result.status != IoStatus::kDone) {
-    peer_closed(result.status);
+    on_peer_closed(result.status);
     return;
   }
   input_.append(buffer.data(), result.bytes);
-  take_input();
+  process_input();
 }
 
-void ClientExchange::take_input() {
-  if (!head_taken_ && !take_head()) {
+void ClientExchange::process_input() {
+  if (!head_received_ && !process_head()) {
     return;
   }
   if (body_end_ == BodyEnd::kChunked) {
-    take_chunks();
+    process_chunks();
   } else {
-    take_body();
+    process_body();
   }
 }
 
 /// Returns whether the head was taken and the exchange still runs.
-bool ClientExchange::take_head() {
-  while (!head_taken_) {
+bool ClientExchange::process_head() {
+  while (!head_received_) {
     const ParseOutcome outcome = parse_head(input_, parsed_);
-    if (outcome == ParseOutcome::kIncomplete && input_.size() <= kLargestHead) {
+    if (outcome == ParseOutcome::kIncomplete && input_.size() <= kMaxHeadBytes) {
       return false;
     }
     if (outcome != ParseOutcome::kComplete) {
-      end_with_failure(HttpErrc::kReset, "the answer's head cannot be read");
+      fail_with(HttpErrc::kReset, "the answer's head cannot be read");
       return false;
     }
     input_.erase(0, parsed_.length);
-    head_taken_ = parsed_.head.status >= 200;
+    head_received_ = parsed_.head.status >= 200;
   }
-  read_head_fields();
-  foreign_ = belongs_to_another();
-  if (!foreign_) {
+  determine_framing();
+  skipping_ = is_response_to_other_request();
+  if (!skipping_) {
     observer_->on_head(parsed_.head);
     if (observer_ == nullptr) {
       return false;
@@ -230,13 +230,13 @@
     connection_->set_reading(reading_);
   }
   if (body_end_ == BodyEnd::kNone) {
-    end_answer(std::exchange(input_, {}));
+    on_response_end(std::exchange(input_, {}));
     return false;
   }
   return true;
 }
 
-bool ClientExchange::belongs_to_another() const {
+bool ClientExchange::is_response_to_other_request() const {
   if (!request_.echo) {
     return false;
   }
@@ -244,24 +244,24 @@
   return !value.empty() && value != request_.echo->value;
 }
 
-/// The answer being read is whole; `surplus` came behind it.
-void ClientExchange::end_answer(std::string surplus) {
-  if (!foreign_) {
-    end_whole(!surplus.empty());
+/// The answer being read is whole; `trailing` came behind it.
+void ClientExchange::on_response_end(std::string trailing) {
+  if (!skipping_) {
+    complete(!trailing.empty());
     return;
   }
-  after_foreign_ = true;
-  foreign_ = false;
-  head_taken_ = false;
+  skipped_response_ = true;
+  skipping_ = false;
+  head_received_ = false;
   chunks_ = ChunkDecoder();
   body_end_ = BodyEnd::kClose;
-  input_ = std::move(surplus);
+  input_ = std::move(trailing);
   if (!input_.empty()) {
-    take_input();
+    process_input();
   }
 }
 
-void ClientExchange::read_head_fields() {
+void ClientExchange::determine_framing() {
   const std::vector<Header>& headers = parsed_.head.headers;
   const std::string_view length = find_header(headers, "content-length");
   if (has_no_body(parsed_.head.status, request_.method)) {
@@ -276,11 +276,12 @@
   }
   const bool closes = contains_token(find_header(headers, "connection"), "close") ||
                       parsed_.minor_version == 0 || body_end_ == BodyEnd::kClose;
-  keep_ = closes || request_.fresh_connection ? Duration::zero()
-                                              : keep_alive(find_header(headers, "keep-alive"));
+  idle_lifetime_ = closes || request_.fresh_connection
+                       ? Duration::zero()
+                       : keep_alive(find_header(headers, "keep-alive"));
 }
 
-void ClientExchange::take_body() {
+void ClientExchange::process_body() {
   std::string bytes;
   bytes.swap(input_);
   if (body_end_ == BodyEnd::kClose) {
@@ -291,54 +292,54 @@
   body_left_ -= due;
   deliver(std::string_view(bytes).substr(0, due));
   if (observer_ != nullptr && body_left_ == 0) {
-    end_answer(bytes.substr(due));
+    on_response_end(bytes.substr(due));
   }
 }
 
-void ClientExchange::take_chunks() {
+void ClientExchange::process_chunks() {
   std::string bytes;
   bytes.swap(input_);
   const ChunkStep step = chunks_.decode(bytes.data(), bytes.size());
   if (step.outcome == ParseOutcome::kMalformed) {
-    end_with_failure(HttpErrc::kTruncated, "the chunks of the answer cannot be read");
+    fail_with(HttpErrc::kTruncated, "the chunks of the answer cannot be read");
     return;
   }
   deliver(std::string_view(bytes).substr(0, step.decoded));
   if (observer_ != nullptr && step.outcome == ParseOutcome::kComplete) {
-    end_answer(bytes.substr(step.decoded, step.surplus));
+    on_response_end(bytes.substr(step.decoded, step.trailing));
   }
 }
 
 void ClientExchange::deliver(std::string_view bytes) {
-  if (!bytes.empty() && observer_ != nullptr && !foreign_) {
+  if (!bytes.empty() && observer_ != nullptr && !skipping_) {
     observer_->on_body(bytes);
   }
 }
 
-void ClientExchange::peer_closed(IoStatus status) {
-  if (status == IoStatus::kSilent) {
-    end_with_failure(HttpErrc::kTimeout, "the peer has fallen silent");
+void ClientExchange::on_peer_closed(IoStatus status) {
+  if (status == IoStatus::kUnresponsive) {
+    fail_with(HttpErrc::kTimeout, "the peer has fallen silent");
     return;
   }
-  if (!head_taken_ || foreign_) {
-    end_with_failure(reused_ ? HttpErrc::kStaleConnection : HttpErrc::kReset,
-                     "the connection ended before an answer");
+  if (!head_received_ || skipping_) {
+    fail_with(reused_ ? HttpErrc::kStaleConnection : HttpErrc::kReset,
+              "the connection ended before an answer");
     return;
   }
   const bool whole = body_end_ == BodyEnd::kClose && status == IoStatus::kClosed &&
                      request_.close_ends_answer &&
                      find_header(parsed_.head.headers, "content-length").empty();
   if (whole) {
-    end_whole(false);
+    complete(false);
     return;
   }
-  end_with_failure(HttpErrc::kTruncated, "the connection ended before the answer's end was proven");
+  fail_with(HttpErrc::kTruncated, "the connection ended before the answer's end was proven");
 }
 
-void ClientExchange::end_whole(bool surplus) {
+void ClientExchange::complete(bool trailing) {
   const std::shared_ptr<ClientExchange> keep = std::move(self_);
   timeout_.disarm();
-  keep_connection(surplus);
+  return_to_pool(trailing);
   if (ResponseObserver* observer = std::exchange(observer_, nullptr)) {
     observer->on_complete();
   }
@@ -346,15 +347,17 @@
 
 /// Bytes behind the answer belong to no request, and a request that was not sent whole would be
 /// continued by the next one: such connections are closed.
-void ClientExchange::keep_connection(bool surplus) {
+void ClientExchange::return_to_pool(bool trailing) {
   std::unique_ptr<ClientConnection> connection = std::move(connection_);
-  if (!connection || surplus || after_foreign_ || !all_written() || keep_ == Duration::zero()) {
+  if (!connection || trailing || skipped_response_ || !all_written() ||
+      idle_lifetime_ == Duration::zero()) {
     return;
   }
-  pool_.put(request_.endpoint.value(), std::move(connection), keep_, request_.most_idle);
+  pool_.put(request_.endpoint.value(), std::move(connection), idle_lifetime_,
+            request_.max_idle_connections);
 }
 
-void ClientExchange::end_with_failure(HttpErrc code, std::string message) {
+void ClientExchange::fail_with(HttpErrc code, std::string message) {
   const std::shared_ptr<ClientExchange> keep = std::move(self_);
   timeout_.disarm();
   connect_timeout_.disarm();
--- a/src/http/client_exchange.h
+++ b/src/http/client_exchange.h
@@ -32,21 +32,21 @@
   /// How the end of an answer is known.
   enum class BodyEnd : std::uint8_t { kNone, kLength, kChunked, kClose };
 
-  void begin();
+  void send_request();
   void fail_later(HttpErrc code, std::string message);
   void write_more();
-  void take_input();
-  bool take_head();
-  void read_head_fields();
-  void take_body();
-  void take_chunks();
-  bool belongs_to_another() const;
+  void process_input();
+  bool process_head();
+  void determine_framing();
+  void process_body();
+  void process_chunks();
+  bool is_response_to_other_request() const;
   void deliver(std::string_view bytes);
-  void end_answer(std::string surplus);
-  void peer_closed(IoStatus status);
-  void end_whole(bool surplus);
-  void end_with_failure(HttpErrc code, std::string message);
-  void keep_connection(bool surplus);
+  void on_response_end(std::string trailing);
+  void on_peer_closed(IoStatus status);
+  void complete(bool trailing);
+  void fail_with(HttpErrc code, std::string message);
+  void return_to_pool(bool trailing);
   bool all_written() const { return written_ == head_.size() + request_.body.size(); }
 
   EventLoop& loop_;
@@ -65,10 +65,10 @@
   BodyEnd body_end_ = BodyEnd::kClose;
   std::size_t body_left_ = 0;  ///< For kLength.
   std::size_t written_ = 0;
-  Duration keep_{};  ///< How long the connection may be kept; zero: not at all.
-  bool head_taken_ = false;
-  bool foreign_ = false;        ///< The answer being read belongs to another request.
-  bool after_foreign_ = false;  ///< Such an answer came on this connection.
+  Duration idle_lifetime_{};  ///< How long the connection may be kept; zero: not at all.
+  bool head_received_ = false;
+  bool skipping_ = false;          ///< The answer being read belongs to another request.
+  bool skipped_response_ = false;  ///< Such an answer came on this connection.
   bool reused_ = false;
   bool sent_ = false;
   bool reading_ = true;
--- a/src/http/connection_pool.cc
+++ b/src/http/connection_pool.cc
@@ -31,7 +31,7 @@
   while (!kept.empty()) {
     std::unique_ptr<ClientConnection> connection = kept.back()->release();
     kept.pop_back();
-    if (!connection->has_news()) {
+    if (!connection->has_pending_input()) {
       return connection;
     }
   }
--- a/src/http/connection_pool.h
+++ b/src/http/connection_pool.h
@@ -23,7 +23,7 @@
   void put(const std::string& endpoint, std::unique_ptr<ClientConnection> connection, Duration keep,
            std::size_t most);
   bool has(const std::string& endpoint) const;
-  void forget(const std::string& endpoint) { idle_.erase(endpoint); }
+  void close_all(const std::string& endpoint) { idle_.erase(endpoint); }
 
  private:
   /// One kept connection. Anything it reports while idle ends it.
--- a/src/http/event_loop.cc
+++ b/src/http/event_loop.cc
@@ -20,9 +20,9 @@
 
 /// Longest sleep. Timers are due by a clock that goes on while the machine is suspended, but the
 /// sleep in the kernel does not: after a suspension it lasts for what was left of it.
-constexpr std::int64_t kLongestWaitMilliseconds = 250;
+constexpr std::int64_t kMaxWaitMilliseconds = 250;
 /// A timer overdue by this much has been held up, by a suspension, a pause or want of processor.
-constexpr Duration kHeldUp = std::chrono::milliseconds(20);
+constexpr Duration kStallThreshold = std::chrono::milliseconds(20);
 constexpr std::int64_t kNanosecondsPerMillisecond = 1'000'000;
 
 using Task = std::function<void()>;
@@ -79,11 +79,11 @@
     poll_ended = clock.now();
   }
 
-  Duration held_up() const {
+  Duration stall_duration() const {
     const Duration in_poll = clock.now() - poll_began - poll_wait;
     Duration held{};
     for (const Duration span : {before_poll, in_poll}) {
-      held += span > kHeldUp ? span : Duration::zero();
+      held += span > kStallThreshold ? span : Duration::zero();
     }
     return held;
   }
@@ -103,7 +103,7 @@
 
   bool run_timers() {
     MonotonicTime now = clock.now();
-    if (!timers.empty() && now - timers.begin()->first.first > kHeldUp) {
+    if (!timers.empty() && now - timers.begin()->first.first > kStallThreshold) {
       // What came meanwhile is read first: an answer that has arrived is not given up as silent.
       poll(0);
       now = clock.now();
@@ -140,7 +140,7 @@
       }
     }
     if (timers.empty()) {
-      return kLongestWaitMilliseconds;
+      return kMaxWaitMilliseconds;
     }
     const std::int64_t left = (timers.begin()->first.first - clock.now()).count();
     if (left <= 0) {
@@ -148,7 +148,7 @@
     }
     const std::int64_t rounded_up =
         (left + kNanosecondsPerMillisecond - 1) / kNanosecondsPerMillisecond;
-    return static_cast<std::int32_t>(std::min(rounded_up, kLongestWaitMilliseconds));
+    return static_cast<std::int32_t>(std::min(rounded_up, kMaxWaitMilliseconds));
   }
 };
 
@@ -206,8 +206,8 @@
   state_->due.erase(found);
 }
 
-Duration EventLoop::held_up() const {
-  return state_->held_up();
+Duration EventLoop::stall_duration() const {
+  return state_->stall_duration();
 }
 
 st_h2o_evloop_t* EventLoop::native() {
--- a/src/http/event_loop.h
+++ b/src/http/event_loop.h
@@ -34,7 +34,7 @@
 
   /// How long what comes to a socket now may have waited there because nothing ran: the machine was
   /// suspended, or the process paused. Zero as a rule.
-  Duration held_up() const;
+  Duration stall_duration() const;
 
   /// The underlying h2o loop, for the HTTP and peer layers.
   st_h2o_evloop_t* native();
--- a/src/http/message_parser.cc
+++ b/src/http/message_parser.cc
@@ -24,7 +24,7 @@
 
 namespace {
 
-constexpr std::size_t kMostHeaders = 100;
+constexpr std::size_t kMaxHeaders = 100;
 constexpr int kIncomplete = -2;
 
 std::string lower_case(std::string_view text) {
@@ -37,7 +37,7 @@
 }  // namespace
 
 ParseOutcome parse_head(std::string_view bytes, ParsedHead& parsed) {
-  std::array<PhrHeader, kMostHeaders> headers{};
+  std::array<PhrHeader, kMaxHeaders> headers{};
   std::size_t count = headers.size();
   int status = 0;
   const char* message = nullptr;
@@ -70,7 +70,7 @@
     step.outcome = ParseOutcome::kMalformed;
   } else if (left >= 0) {
     step.outcome = ParseOutcome::kComplete;
-    step.surplus = static_cast<std::size_t>(left);
+    step.trailing = static_cast<std::size_t>(left);
   }
   return step;
 }
--- a/src/http/message_parser.h
+++ b/src/http/message_parser.h
@@ -28,8 +28,8 @@
 /// What one step of decoding chunks gave.
 struct ChunkStep {
   ParseOutcome outcome = ParseOutcome::kIncomplete;
-  std::size_t decoded = 0;  ///< Bytes of the body, now at the buffer's beginning.
-  std::size_t surplus = 0;  ///< Bytes behind the last chunk, if complete.
+  std::size_t decoded = 0;   ///< Bytes of the body, now at the buffer's beginning.
+  std::size_t trailing = 0;  ///< Bytes behind the last chunk, if complete.
 };
 
 /// Decodes the chunked coding in place.
--- a/src/http/response_stream.cc
+++ b/src/http/response_stream.cc
@@ -72,14 +72,14 @@
   auto* slot = static_cast<RequestSlot*>(
       h2o_mem_alloc_shared(&request_->pool, sizeof(RequestSlot), on_disposed));
   slot->stream = this;
-  watch_caller();
+  watch_for_disconnect();
 }
 
 void ResponseStream::on_disposed(void* slot) {
-  static_cast<RequestSlot*>(slot)->stream->request_gone();
+  static_cast<RequestSlot*>(slot)->stream->on_request_disposed();
 }
 
-void ResponseStream::request_gone() {
+void ResponseStream::on_request_disposed() {
   stop_watching();
   request_ = nullptr;
   const std::shared_ptr<ResponseStream> keep = std::move(self_);
@@ -87,14 +87,14 @@
   in_flight_.clear();
   queued_.clear();
   if (!whole && end_ == End::kNone) {
-    caller_went_away();
+    on_caller_disconnected();
   }
   on_closed_ = nullptr;
   on_drained_ = nullptr;
 }
 
-void ResponseStream::caller_went_away() {
-  caller_gone_ = true;
+void ResponseStream::on_caller_disconnected() {
+  caller_disconnected_ = true;
   if (const auto callback = std::exchange(on_closed_, nullptr)) {
     callback();
   }
@@ -137,7 +137,7 @@
   end_ = End::kAborted;
   if (writing_) {
     queued_.clear();
-    cut_connection();
+    reset_connection();
   }
   schedule_pump();
 }
@@ -173,7 +173,7 @@
     if (request_->version < kHttp11Version) {
       reset_on_close();
     }
-    end_connection();
+    shut_down_connection();
     send(H2O_SEND_STATE_ERROR);
     return;
   }
@@ -219,7 +219,7 @@
 
 /// h2o does not read an HTTP/1.1 connection while it is being answered, so it would not see the
 /// caller leave. The socket is polled without reading: pipelined requests stay where they are.
-void ResponseStream::watch_caller() {
+void ResponseStream::watch_for_disconnect() {
   h2o_socket_t* socket = http1_socket();
   if (socket == nullptr || h2o_socket_is_reading(socket) != 0) {
     return;
@@ -232,10 +232,10 @@
 
 void ResponseStream::on_readable(h2o_socket_t* socket, const char* /*error*/) {
   auto* stream = static_cast<ResponseStream*>(socket->on_close.data);
-  stream->check_caller();
+  stream->check_for_disconnect();
 }
 
-void ResponseStream::check_caller() {
+void ResponseStream::check_for_disconnect() {
   h2o_socket_t* socket = http1_socket();
   if (socket == nullptr) {
     return;
@@ -245,11 +245,11 @@
   }
   if (!peer_has_closed(h2o_socket_get_fd(socket))) {
     // A pipelined request waits; polling for readability would now spin.
-    pipelined_check_.arm(kPipelinedCheckPeriod, [this] { check_caller(); });
+    pipelined_check_.arm(kPipelinedCheckPeriod, [this] { check_for_disconnect(); });
     return;
   }
   if (end_ == End::kNone) {
-    caller_went_away();
+    on_caller_disconnected();
   }
   if (end_ == End::kNone) {
     abort();
@@ -283,7 +283,7 @@
 
 /// Closes an HTTP/1 connection before h2o marks the answer as broken: its mark is a chunk that no
 /// parser can read, and the caller shall find whole chunks and then the end.
-void ResponseStream::end_connection() {
+void ResponseStream::shut_down_connection() {
   h2o_socket_t* socket = http1_socket();
   if (socket != nullptr) {
     ::shutdown(h2o_socket_get_fd(socket), SHUT_RDWR);
@@ -291,7 +291,7 @@
 }
 
 /// Ends an HTTP/1 connection whose caller does not take the bytes being written.
-void ResponseStream::cut_connection() {
+void ResponseStream::reset_connection() {
   h2o_socket_t* socket = http1_socket();
   if (socket == nullptr) {
     return;
--- a/src/http/response_stream.h
+++ b/src/http/response_stream.h
@@ -29,7 +29,7 @@
   void finish() override;
   void abort() override;
   std::size_t buffered_bytes() const override { return queued_.size() + in_flight_.size(); }
-  bool closed() const override { return request_ == nullptr || caller_gone_; }
+  bool closed() const override { return request_ == nullptr || caller_disconnected_; }
   void on_closed(std::function<void()> callback) override { on_closed_ = std::move(callback); }
   void on_drained(std::function<void()> callback) override { on_drained_ = std::move(callback); }
 
@@ -52,15 +52,15 @@
   void schedule_pump();
   void pump();
   void send(h2o_send_state_t state);
-  void request_gone();
-  void caller_went_away();
+  void on_request_disposed();
+  void on_caller_disconnected();
   h2o_socket_t* http1_socket() const;
-  void watch_caller();
-  void check_caller();
+  void watch_for_disconnect();
+  void check_for_disconnect();
   void stop_watching();
   void reset_on_close();
-  void end_connection();
-  void cut_connection();
+  void shut_down_connection();
+  void reset_connection();
 
   EventLoop& loop_;
   h2o_req_t* request_;
@@ -76,7 +76,7 @@
   bool writing_ = false;
   bool final_sent_ = false;
   bool pump_scheduled_ = false;
-  bool caller_gone_ = false;
+  bool caller_disconnected_ = false;
   bool watching_ = false;
 };
 
--- a/src/http/server.cc
+++ b/src/http/server.cc
@@ -21,12 +21,12 @@
 namespace {
 
 /// Connections taken from the backlog in one turn of the loop.
-constexpr int kAcceptsPerTurn = 64;
+constexpr int kAcceptsPerIteration = 64;
 /// Pause of accepting when the process has no descriptor left.
 constexpr Duration kAcceptPause = std::chrono::milliseconds(100);
 constexpr std::size_t kHttp2RequestsPerConnection = 256;
 /// Turns of the loop given to connections that are being closed when the server goes.
-constexpr int kClosingTurns = 16;
+constexpr int kClosingIterations = 16;
 
 std::uint64_t to_milliseconds(Duration span) {
   return static_cast<std::uint64_t>(
@@ -67,7 +67,7 @@
 
 /// Whether there is anything of a request on its connection. h2o keeps a request's bytes in the
 /// input of an HTTP/1.1 connection until its answer is out; of HTTP/2 it shows open streams only.
-bool is_held(const h2o_req_t& request) {
+bool is_in_progress(const h2o_req_t& request) {
   if (request.version >= kHttp2Version) {
     return true;
   }
@@ -75,12 +75,12 @@
   return socket != nullptr && socket->input->size != 0;
 }
 
-int count_held(h2o_req_t* request, void* count) {
-  *static_cast<std::size_t*>(count) += is_held(*request) ? 1 : 0;
+int count_in_progress(h2o_req_t* request, void* count) {
+  *static_cast<std::size_t*>(count) += is_in_progress(*request) ? 1 : 0;
   return 0;
 }
 
-void drop_entries(h2o_timeout_t& timeout) {
+void unlink_entries(h2o_timeout_t& timeout) {
   while (h2o_linklist_is_empty(&timeout._entries) == 0) {
     h2o_linklist_t* entry = timeout._entries.next;
     if (entry->next == nullptr || entry->prev == nullptr) {
@@ -164,7 +164,7 @@
 
   /// Returns how many there were.
   int accept_connections() {
-    for (int accepted = 0; accepted != kAcceptsPerTurn; ++accepted) {
+    for (int accepted = 0; accepted != kAcceptsPerIteration; ++accepted) {
       errno = 0;
       h2o_socket_t* connection = h2o_evloop_socket_accept(listener);
       if (connection == nullptr) {
@@ -175,7 +175,7 @@
       }
       h2o_accept(&accept, connection);
     }
-    return kAcceptsPerTurn;
+    return kAcceptsPerIteration;
   }
 
   void pause_accepting() {
@@ -188,7 +188,7 @@
   }
 
   void stop_accepting() {
-    while (listener != nullptr && accept_connections() == kAcceptsPerTurn) {
+    while (listener != nullptr && accept_connections() == kAcceptsPerIteration) {
     }
     close_listener();
   }
@@ -215,14 +215,14 @@
     h2o_context_request_shutdown(&context);
     config.http1.callbacks.foreach_request(&context, shut_down_connection, nullptr);
     config.http2.callbacks.foreach_request(&context, shut_down_connection, nullptr);
-    for (int i = 0; i != kClosingTurns; ++i) {
+    for (int i = 0; i != kClosingIterations; ++i) {
       h2o_evloop_run(loop.native(), 0);
     }
     // What is still waiting (h2o's repeated GOAWAY, idle HTTP/2 connections) must not be found by
     // h2o_context_dispose(), which insists on empty lists.
     for (h2o_timeout_t* timeout : {&context.one_sec_timeout, &context.http1.req_timeout,
                                    &context.http2.idle_timeout, &context.handshake_timeout}) {
-      drop_entries(*timeout);
+      unlink_entries(*timeout);
     }
   }
 };
@@ -275,11 +275,11 @@
   h2o_context_request_shutdown(&state_->context);
 }
 
-std::size_t Server::held() const {
+std::size_t Server::requests_in_progress() const {
   std::size_t count = 0;
   h2o_globalconf_t& config = state_->config;
-  config.http1.callbacks.foreach_request(&state_->context, count_held, &count);
-  config.http2.callbacks.foreach_request(&state_->context, count_held, &count);
+  config.http1.callbacks.foreach_request(&state_->context, count_in_progress, &count);
+  config.http2.callbacks.foreach_request(&state_->context, count_in_progress, &count);
   return count;
 }
 
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -81,7 +81,7 @@
   void stop_accepting();
   /// Requests of which a byte has been read and whose answer has not wholly been handed to the
   /// kernel, whoever waits for what meanwhile. Walks the connections.
-  std::size_t held() const;
+  std::size_t requests_in_progress() const;
   /// Reads the TLS files again; keeps the old identity on failure.
   Result<void, HttpError> reload_tls();
 
--- a/src/http/tests/client_failure_test.cc
+++ b/src/http/tests/client_failure_test.cc
@@ -54,23 +54,23 @@
   std::thread thread_;
 };
 
-struct Ended {
+struct Outcome {
   std::optional<http::FetchFailure> failure;
   std::string body;
 };
 
-Ended fetch(http::EventLoop& loop, http::Client& client, http::ClientRequest request) {
-  Ended ended;
+Outcome fetch(http::EventLoop& loop, http::Client& client, http::ClientRequest request) {
+  Outcome outcome;
   client.fetch(std::move(request), [&](auto result) {
     if (result) {
-      ended.body = result.value().body;
+      outcome.body = result.value().body;
     } else {
-      ended.failure = result.error();
+      outcome.failure = result.error();
     }
     loop.stop();
   });
   loop.run();
-  return ended;
+  return outcome;
 }
 
 http::ClientRequest get(const Endpoint& endpoint) {
@@ -79,7 +79,7 @@
   return request;
 }
 
-const std::string kWhole = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
+const std::string kCompleteResponse = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
 
 }  // namespace
 
@@ -89,19 +89,19 @@
   const int listener = http::open_listener(Endpoint("127.0.0.1:0"), false).value();
   const Endpoint endpoint = bound_endpoint(listener);
   ::close(listener);
-  const Ended ended = fetch(loop, client, get(endpoint));
-  REQUIRE(ended.failure);
-  CHECK(ended.failure->error.code == http::HttpErrc::kConnect);
-  CHECK_FALSE(ended.failure->sent);
+  const Outcome outcome = fetch(loop, client, get(endpoint));
+  REQUIRE(outcome.failure);
+  CHECK(outcome.failure->error.code == http::HttpErrc::kConnect);
+  CHECK_FALSE(outcome.failure->sent);
 }
 
 TEST_CASE("an invalid address is certainly not sent") {
   http::EventLoop loop;
   http::Client client(loop);
-  const Ended ended = fetch(loop, client, get(Endpoint("nowhere")));
-  REQUIRE(ended.failure);
-  CHECK(ended.failure->error.code == http::HttpErrc::kAddressInvalid);
-  CHECK_FALSE(ended.failure->sent);
+  const Outcome outcome = fetch(loop, client, get(Endpoint("nowhere")));
+  REQUIRE(outcome.failure);
+  CHECK(outcome.failure->error.code == http::HttpErrc::kAddressInvalid);
+  CHECK_FALSE(outcome.failure->sent);
 }
 
 TEST_CASE("answers whose end is not proven are truncated") {
@@ -116,10 +116,10 @@
     http::EventLoop loop;
     http::Client client(loop);
     ScriptedPeer peer({{answer}});
-    const Ended ended = fetch(loop, client, get(peer.endpoint()));
-    REQUIRE(ended.failure);
-    CHECK(ended.failure->error.code == http::HttpErrc::kTruncated);
-    CHECK(ended.failure->sent);
+    const Outcome outcome = fetch(loop, client, get(peer.endpoint()));
+    REQUIRE(outcome.failure);
+    CHECK(outcome.failure->error.code == http::HttpErrc::kTruncated);
+    CHECK(outcome.failure->sent);
   }
 }
 
@@ -127,27 +127,27 @@
   http::EventLoop loop;
   http::Client client(loop);
   ScriptedPeer peer({{""}});
-  const Ended ended = fetch(loop, client, get(peer.endpoint()));
-  REQUIRE(ended.failure);
-  CHECK(ended.failure->error.code == http::HttpErrc::kReset);
-  CHECK(ended.failure->sent);
+  const Outcome outcome = fetch(loop, client, get(peer.endpoint()));
+  REQUIRE(outcome.failure);
+  CHECK(outcome.failure->error.code == http::HttpErrc::kReset);
+  CHECK(outcome.failure->sent);
 }
 
 TEST_CASE("a reused connection closed before the answer is told apart") {
   http::EventLoop loop;
   http::Client client(loop);
-  ScriptedPeer peer({{kWhole, ""}});
+  ScriptedPeer peer({{kCompleteResponse, ""}});
   CHECK(fetch(loop, client, get(peer.endpoint())).body == "ok");
-  const Ended ended = fetch(loop, client, get(peer.endpoint()));
-  REQUIRE(ended.failure);
-  CHECK(ended.failure->error.code == http::HttpErrc::kStaleConnection);
-  CHECK(ended.failure->sent);
+  const Outcome outcome = fetch(loop, client, get(peer.endpoint()));
+  REQUIRE(outcome.failure);
+  CHECK(outcome.failure->error.code == http::HttpErrc::kStaleConnection);
+  CHECK(outcome.failure->sent);
 }
 
 TEST_CASE("a request that asks for a new connection gets one") {
   http::EventLoop loop;
   http::Client client(loop);
-  ScriptedPeer peer({{kWhole}, {kWhole}});
+  ScriptedPeer peer({{kCompleteResponse}, {kCompleteResponse}});
   auto request = get(peer.endpoint());
   request.fresh_connection = true;
   CHECK(fetch(loop, client, request).body == "ok");
@@ -160,17 +160,17 @@
   const int listener = http::open_listener(Endpoint("127.0.0.1:0"), false).value();
   auto request = get(bound_endpoint(listener));
   request.timeout = 5ms;
-  const Ended ended = fetch(loop, client, request);
+  const Outcome outcome = fetch(loop, client, request);
   ::close(listener);
-  REQUIRE(ended.failure);
-  CHECK(ended.failure->error.code == http::HttpErrc::kTimeout);
-  CHECK(ended.failure->sent);
+  REQUIRE(outcome.failure);
+  CHECK(outcome.failure->error.code == http::HttpErrc::kTimeout);
+  CHECK(outcome.failure->sent);
 }
 
 TEST_CASE("an answer larger than asked for is refused") {
   http::EventLoop loop;
   http::Client client(loop);
-  ScriptedPeer peer({{kWhole}});
+  ScriptedPeer peer({{kCompleteResponse}});
   std::optional<http::FetchFailure> failure;
   client.fetch(
       get(peer.endpoint()),
@@ -193,23 +193,22 @@
   };
   const Row rows[] = {
       {[](auto& request) { request.send_before = SystemClock().now(); }, http::HttpErrc::kExpired},
-      {[](auto& request) { request.may_leave = [] { return false; }; },
-       http::HttpErrc::kWithdrawn}};
+      {[](auto& request) { request.may_send = [] { return false; }; }, http::HttpErrc::kWithdrawn}};
   for (const Row& row : rows) {
     for (const bool reused : {false, true}) {
       CAPTURE(http::describe(row.error));
       CAPTURE(reused);
-      ScriptedPeer peer(reused ? std::vector<std::vector<std::string>>{{kWhole}}
+      ScriptedPeer peer(reused ? std::vector<std::vector<std::string>>{{kCompleteResponse}}
                                : std::vector<std::vector<std::string>>{{}});
       if (reused) {
         CHECK(fetch(loop, client, get(peer.endpoint())).body == "ok");
       }
       auto request = get(peer.endpoint());
       row.prepare(request);
-      const Ended ended = fetch(loop, client, request);
-      REQUIRE(ended.failure);
-      CHECK(ended.failure->error.code == row.error);
-      CHECK_FALSE(ended.failure->sent);
+      const Outcome outcome = fetch(loop, client, request);
+      REQUIRE(outcome.failure);
+      CHECK(outcome.failure->error.code == row.error);
+      CHECK_FALSE(outcome.failure->sent);
     }
   }
 }
@@ -257,7 +256,7 @@
 TEST_CASE("bytes behind a whole answer end the connection, not the answer") {
   http::EventLoop loop;
   http::Client client(loop);
-  ScriptedPeer peer({{kWhole + "surplus"}, {kWhole}});
+  ScriptedPeer peer({{kCompleteResponse + "surplus"}, {kCompleteResponse}});
   CHECK(fetch(loop, client, get(peer.endpoint())).body == "ok");
   CHECK(fetch(loop, client, get(peer.endpoint())).body == "ok");
   CHECK(client.statistics().connections_opened == 2);
@@ -266,9 +265,9 @@
 TEST_CASE("no more idle connections are kept than asked for") {
   http::EventLoop loop;
   http::Client client(loop);
-  ScriptedPeer peer({{kWhole}, {kWhole}});
+  ScriptedPeer peer({{kCompleteResponse}, {kCompleteResponse}});
   auto request = get(peer.endpoint());
-  request.most_idle = 0;
+  request.max_idle_connections = 0;
   CHECK(fetch(loop, client, request).body == "ok");
   CHECK(fetch(loop, client, request).body == "ok");
   CHECK(client.statistics().connections_reused == 0);
--- a/src/http/tests/server_client_test.cc
+++ b/src/http/tests/server_client_test.cc
@@ -41,7 +41,7 @@
   std::function<void()> on_bytes;
 };
 
-struct Pair {
+struct Fixture {
   http::EventLoop loop;
   http::Server server{loop, settings()};
   std::unique_ptr<http::Client> client = std::make_unique<http::Client>(loop);
@@ -74,53 +74,53 @@
 }
 
 TEST_CASE("a whole answer is fetched, and the longest prefix wins") {
-  Pair pair;
-  pair.server.route("/", [](auto, auto response) { response->respond(404, {}, "no"); });
-  pair.server.route("/echo", [](http::Request request, auto response) {
+  Fixture fixture;
+  fixture.server.route("/", [](auto, auto response) { response->respond(404, {}, "no"); });
+  fixture.server.route("/echo", [](http::Request request, auto response) {
     CHECK(request.query == "a=b");
     CHECK(http::find_header(request.headers, "x-test") == "1");
     response->respond(200, {{"x-answer", "yes"}}, request.body);
   });
-  REQUIRE(pair.server.listen());
-  auto request = pair.request("/echo?a=b", std::string(300'000, 'x'));
+  REQUIRE(fixture.server.listen());
+  auto request = fixture.request("/echo?a=b", std::string(300'000, 'x'));
   request.headers.push_back({"x-test", "1"});
   for (int i = 0; i != 3; ++i) {
     bool done = false;
-    pair.client->fetch(request, [&](auto result) {
+    fixture.client->fetch(request, [&](auto result) {
       REQUIRE(result);
       CHECK(result.value().head.status == 200);
       CHECK(http::find_header(result.value().head.headers, "x-answer") == "yes");
       CHECK(result.value().body == request.body);
       done = true;
-      pair.loop.stop();
+      fixture.loop.stop();
     });
-    pair.loop.run();
+    fixture.loop.run();
     CHECK(done);
   }
 }
 
 TEST_CASE("an empty answer has a proven end and its connection is used again") {
-  Pair pair;
-  pair.server.route("/", [](auto, auto response) { response->respond(200, {}, ""); });
-  REQUIRE(pair.server.listen());
+  Fixture fixture;
+  fixture.server.route("/", [](auto, auto response) { response->respond(200, {}, ""); });
+  REQUIRE(fixture.server.listen());
   for (int i = 0; i != 2; ++i) {
-    Recorder recorder(pair.loop);
-    const auto exchange = pair.client->start(pair.request("/"), recorder);
-    pair.loop.run();
+    Recorder recorder(fixture.loop);
+    const auto exchange = fixture.client->start(fixture.request("/"), recorder);
+    fixture.loop.run();
     CHECK(recorder.complete);
   }
 }
 
 TEST_CASE("a stream arrives as it is sent and ends proven") {
-  Pair pair;
+  Fixture fixture;
   std::shared_ptr<http::ResponseWriter> writer;
-  pair.server.route("/", [&](auto, auto response) {
+  fixture.server.route("/", [&](auto, auto response) {
     writer = response;
     writer->send_head({200, {{"content-type", "text/event-stream"}}});
     writer->send_body("one");
   });
-  REQUIRE(pair.server.listen());
-  Recorder recorder(pair.loop);
+  REQUIRE(fixture.server.listen());
+  Recorder recorder(fixture.loop);
   recorder.on_bytes = [&] {
     if (recorder.body == "one") {
       writer->send_body("two");
@@ -129,17 +129,17 @@
       writer->finish();
     }
   };
-  const auto exchange = pair.client->start(pair.request("/"), recorder);
-  pair.loop.run();
+  const auto exchange = fixture.client->start(fixture.request("/"), recorder);
+  fixture.loop.run();
   CHECK(recorder.complete);
   CHECK(recorder.body == "onetwo");
 }
 
 TEST_CASE("an aborted answer cannot be mistaken for a whole one") {
   for (const bool after_bytes : {false, true}) {
-    Pair pair;
+    Fixture fixture;
     std::shared_ptr<http::ResponseWriter> writer;
-    pair.server.route("/", [&](auto, auto response) {
+    fixture.server.route("/", [&](auto, auto response) {
       writer = response;
       writer->send_head({200, {}});
       writer->send_body("part");
@@ -147,15 +147,15 @@
         writer->abort();
       }
     });
-    REQUIRE(pair.server.listen());
-    Recorder recorder(pair.loop);
+    REQUIRE(fixture.server.listen());
+    Recorder recorder(fixture.loop);
     recorder.on_bytes = [&] {
       if (writer) {
         writer->abort();
       }
     };
-    const auto exchange = pair.client->start(pair.request("/"), recorder);
-    pair.loop.run();
+    const auto exchange = fixture.client->start(fixture.request("/"), recorder);
+    fixture.loop.run();
     CHECK_FALSE(recorder.complete);
     REQUIRE(recorder.failure);
     CHECK(recorder.failure->code == http::HttpErrc::kTruncated);
@@ -165,25 +165,25 @@
 
 TEST_CASE("the server learns that a caller went away before and after the head") {
   for (const bool with_head : {false, true}) {
-    Pair pair;
+    Fixture fixture;
     std::unique_ptr<http::Exchange> exchange;
     std::shared_ptr<http::ResponseWriter> writer;
     bool closed = false;
-    pair.server.route("/", [&](auto, auto response) {
+    fixture.server.route("/", [&](auto, auto response) {
       writer = response;
       if (with_head) {
         writer->send_head({200, {}});
       }
       writer->on_closed([&] {
         closed = true;
-        pair.loop.stop();
+        fixture.loop.stop();
       });
-      pair.loop.schedule_after(1ms, [&] { exchange.reset(); });
+      fixture.loop.schedule_after(1ms, [&] { exchange.reset(); });
     });
-    REQUIRE(pair.server.listen());
-    Recorder recorder(pair.loop);
-    exchange = pair.client->start(pair.request("/"), recorder);
-    pair.loop.run();
+    REQUIRE(fixture.server.listen());
+    Recorder recorder(fixture.loop);
+    exchange = fixture.client->start(fixture.request("/"), recorder);
+    fixture.loop.run();
     CHECK(closed);
     CHECK(writer->closed());
     writer->send_body("ignored");
@@ -194,7 +194,7 @@
 TEST_CASE("back pressure reaches the server when the reader stops") {
   constexpr std::size_t kChunk = 1U << 20U;
   constexpr std::size_t kChunks = 64;
-  Pair pair;
+  Fixture fixture;
   std::shared_ptr<http::ResponseWriter> writer;
   std::size_t sent = 0;
   const std::string chunk(kChunk, 'x');
@@ -206,14 +206,14 @@
     ++sent;
     writer->send_body(chunk);
   };
-  pair.server.route("/", [&](auto, auto response) {
+  fixture.server.route("/", [&](auto, auto response) {
     writer = response;
     writer->on_drained(send_next);
     writer->send_head({200, {}});
     send_next();
   });
-  REQUIRE(pair.server.listen());
-  Recorder recorder(pair.loop);
+  REQUIRE(fixture.server.listen());
+  Recorder recorder(fixture.loop);
   std::unique_ptr<http::Exchange> exchange;
   std::size_t sent_while_paused = 0;
   bool paused = false;
@@ -223,38 +223,38 @@
     }
     exchange->set_reading(false);
     // Time enough for the server to fill the sockets' buffers.
-    pair.loop.schedule_after(50ms, [&] {
+    fixture.loop.schedule_after(50ms, [&] {
       sent_while_paused = sent;
       exchange->set_reading(true);
     });
   };
-  exchange = pair.client->start(pair.request("/"), recorder);
-  pair.loop.run();
+  exchange = fixture.client->start(fixture.request("/"), recorder);
+  fixture.loop.run();
   CHECK(sent_while_paused < kChunks);
   CHECK(recorder.complete);
   CHECK(recorder.body.size() == kChunks * kChunk);
 }
 
 TEST_CASE("a body over the limit is refused") {
-  Pair pair;
-  pair.server.route("/", [](auto, auto response) { response->respond(200, {}, ""); });
-  REQUIRE(pair.server.listen());
-  pair.client->fetch(pair.request("/", std::string((1U << 20U) + 1, 'x')), [&](auto result) {
+  Fixture fixture;
+  fixture.server.route("/", [](auto, auto response) { response->respond(200, {}, ""); });
+  REQUIRE(fixture.server.listen());
+  fixture.client->fetch(fixture.request("/", std::string((1U << 20U) + 1, 'x')), [&](auto result) {
     // The server may close while the body is still being sent.
     if (result) {
       CHECK(result.value().head.status == 413);
     }
-    pair.loop.stop();
+    fixture.loop.stop();
   });
-  pair.loop.run();
+  fixture.loop.run();
 }
 
 TEST_CASE("a taken port is reported as such") {
-  Pair pair;
-  REQUIRE(pair.server.listen());
+  Fixture fixture;
+  REQUIRE(fixture.server.listen());
   http::ServerSettings settings;
-  settings.listen = pair.server.bound();
-  http::Server second(pair.loop, settings);
+  settings.listen = fixture.server.bound();
+  http::Server second(fixture.loop, settings);
   const auto listening = second.listen();
   REQUIRE_FALSE(listening);
   CHECK(listening.error().code == http::HttpErrc::kAddressInUse);
--- a/src/logging/bounded_logger.cc
+++ b/src/logging/bounded_logger.cc
@@ -14,15 +14,15 @@
 
 void BoundedLogger::write(const Record& record) {
   refill();
-  const double least = record.level < Level::kWarning ? 1 + kReserve * bounds_.burst : 1;
-  if (allowance_ < least) {
+  const double required = record.level < Level::kWarning ? 1 + kWarningReserve * bounds_.burst : 1;
+  if (allowance_ < required) {
     ++dropped_;
-    ++untold_;
+    ++unreported_;
     return;
   }
-  if (untold_ != 0) {
+  if (unreported_ != 0) {
     next_.write(
-        {Level::kWarning, "logging", "lines left out", {{"lines", std::exchange(untold_, 0)}}});
+        {Level::kWarning, "logging", "lines left out", {{"lines", std::exchange(unreported_, 0)}}});
   }
   allowance_ -= 1;
   next_.write(record);
--- a/src/logging/bounded_logger.h
+++ b/src/logging/bounded_logger.h
@@ -24,7 +24,7 @@
 
  private:
   /// Part of the burst that only warnings and errors may use.
-  static constexpr double kReserve = 0.1;
+  static constexpr double kWarningReserve = 0.1;
 
   void refill();
 
@@ -34,7 +34,7 @@
   double allowance_;
   MonotonicTime filled_at_;
   std::uint64_t dropped_ = 0;
-  std::uint64_t untold_ = 0;  ///< Dropped since the last line that told of it.
+  std::uint64_t unreported_ = 0;  ///< Dropped since the last line that told of it.
 };
 
 }  // namespace ochrespring::logging
--- a/src/logging/glog_logger.cc
+++ b/src/logging/glog_logger.cc
@@ -67,14 +67,14 @@
   return false;
 }
 
-/// Writes each line with one call that never waits.
+/// Writes each line with one call that never may_block.
 class GlogLogger::Sink final : public google::LogSink {
  public:
   explicit Sink(int descriptor) : descriptor_(descriptor) {
     struct stat status {};
-    const bool waits = ::fstat(descriptor_, &status) == 0 &&
-                       (S_ISFIFO(status.st_mode) || S_ISSOCK(status.st_mode));
-    if (waits) {
+    const bool may_block = ::fstat(descriptor_, &status) == 0 &&
+                           (S_ISFIFO(status.st_mode) || S_ISSOCK(status.st_mode));
+    if (may_block) {
       ::fcntl(descriptor_, F_SETFL, ::fcntl(descriptor_, F_GETFL) | O_NONBLOCK);
     }
   }
@@ -92,9 +92,9 @@
   int descriptor_;
 };
 
-GlogLogger::GlogLogger(const std::string& program, Level least, const Clock& clock,
+GlogLogger::GlogLogger(const std::string& program, Level min_level, const Clock& clock,
                        LogOutput output)
-    : least_(least),
+    : min_level_(min_level),
       clock_(clock),
       sink_(std::make_unique<Sink>(output == LogOutput::kStandardOutput ? STDOUT_FILENO
                                                                         : STDERR_FILENO)) {
@@ -109,7 +109,7 @@
 }
 
 void GlogLogger::write(const Record& record) {
-  if (record.level < least_) {
+  if (record.level < min_level_) {
     return;
   }
   const std::string line = render_json(record, clock_.wall_now());
--- a/src/logging/glog_logger.h
+++ b/src/logging/glog_logger.h
@@ -24,7 +24,7 @@
 /// dropped. A line that a pipe does not take at once is lost rather than waited for.
 class GlogLogger final : public Logger {
  public:
-  GlogLogger(const std::string& program, Level least, const Clock& clock,
+  GlogLogger(const std::string& program, Level min_level, const Clock& clock,
              LogOutput output = LogOutput::kStandardError);
   ~GlogLogger() override;
   GlogLogger(const GlogLogger&) = delete;
@@ -35,7 +35,7 @@
  private:
   class Sink;
 
-  Level least_;
+  Level min_level_;
   const Clock& clock_;
   std::unique_ptr<Sink> sink_;
 };
--- a/src/process/file_watcher.cc
+++ b/src/process/file_watcher.cc
@@ -6,12 +6,12 @@
 
 FileWatcher::FileWatcher(TimerService& timers, std::string path, std::function<void()> changed)
     : path_(std::move(path)), changed_(std::move(changed)), stamp_(read_stamp()), timer_(timers) {
-  timer_.arm(kPeriod, [this] { look(); });
+  timer_.arm(kPeriod, [this] { poll(); });
 }
 
-void FileWatcher::look() {
+void FileWatcher::poll() {
   const Stamp now = read_stamp();
-  timer_.arm(kPeriod, [this] { look(); });
+  timer_.arm(kPeriod, [this] { poll(); });
   if (now == stamp_ || now == Stamp()) {
     return;
   }
--- a/src/process/file_watcher.h
+++ b/src/process/file_watcher.h
@@ -26,7 +26,7 @@
     bool operator==(const Stamp&) const = default;
   };
 
-  void look();
+  void poll();
   Stamp read_stamp() const;
 
   std::string path_;
--- a/src/settings/setting_checks.cc
+++ b/src/settings/setting_checks.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr std::size_t kLongestName = 63;
+constexpr std::size_t kMaxNameLength = 63;
 
 bool is_letter_or_digit(char character) {
   return (character >= 'a' && character <= 'z') || (character >= '0' && character <= '9');
@@ -28,11 +28,11 @@
 }  // namespace
 
 std::string NumberRange::describe() const {
-  return "a whole number from " + std::to_string(least) + " to " + std::to_string(most);
+  return "a whole number from " + std::to_string(min) + " to " + std::to_string(max);
 }
 
 bool read_name(const std::string& text, std::string& value) {
-  if (text.empty() || text.size() > kLongestName || !is_letter_or_digit(text.front()) ||
+  if (text.empty() || text.size() > kMaxNameLength || !is_letter_or_digit(text.front()) ||
       !std::all_of(text.begin(), text.end(), is_name_character)) {
     return false;
   }
@@ -44,7 +44,7 @@
   std::uint64_t number = 0;
   const char* end = text.data() + text.size();
   const auto [stopped, error] = std::from_chars(text.data(), end, number);
-  if (error != std::errc() || stopped != end || number < range.least || number > range.most) {
+  if (error != std::errc() || stopped != end || number < range.min || number > range.max) {
     return false;
   }
   value = number;
--- a/src/settings/setting_checks.h
+++ b/src/settings/setting_checks.h
@@ -12,8 +12,8 @@
 
 /// Range of a whole number and how it is described to people.
 struct NumberRange {
-  std::uint64_t least = 0;
-  std::uint64_t most = 0;
+  std::uint64_t min = 0;
+  std::uint64_t max = 0;
 
   std::string describe() const;
 };
--- a/src/settings/tests/node_settings_test.cc
+++ b/src/settings/tests/node_settings_test.cc
@@ -11,11 +11,11 @@
 
 namespace {
 
-const std::vector<std::string> kLeast{
+const std::vector<std::string> kRequiredArguments{
     "--node", "node-1", "--zone", "manta", "--key-value-store", "127.0.0.1:7001"};
 
 std::vector<std::string> with(std::vector<std::string> more) {
-  std::vector<std::string> arguments = kLeast;
+  std::vector<std::string> arguments = kRequiredArguments;
   arguments.insert(arguments.end(), more.begin(), more.end());
   return arguments;
 }
--- a/src/simulation/suspendable_machine.h
+++ b/src/simulation/suspendable_machine.h
@@ -42,7 +42,7 @@
     }
   }
   bool suspended() const { return time_.now() < wakes_at_; }
-  /// What comes now may have waited so long; see http::EventLoop::held_up().
+  /// What comes now may have waited so long; see http::EventLoop::stall_duration().
   Duration held_up() const {
     return time_.now() == wakes_at_ ? wakes_at_ - suspended_at_ : Duration::zero();
   }
--- a/src/usage/tests/usage_reporter_test.cc
+++ b/src/usage/tests/usage_reporter_test.cc
@@ -24,9 +24,9 @@
 const TenantName kTenant("t");
 
 /// Takes reports as the platform does, and sees what is wrong with them.
-class PlayedSink final : public UsageSink {
+class FakeSink final : public UsageSink {
  public:
-  explicit PlayedSink(simulation::VirtualTime& time) : time_(time) {}
+  explicit FakeSink(simulation::VirtualTime& time) : time_(time) {}
 
   void report_usage(duties::Fence fence, const WindowCounts& counts,
                     duties::DutyCallback done) override {
@@ -40,9 +40,9 @@
       const bool old = fence < highest_;
       highest_ = std::max(highest_, fence);
       if (!old) {
-        const auto known = told.try_emplace(counts.window, counts.counts).first;
-        differed = differed || known->second != counts.counts;
-        told_at.try_emplace(counts.window, time_.now());
+        const auto known = reported.try_emplace(counts.window, counts.counts).first;
+        conflicting = conflicting || known->second != counts.counts;
+        reported_at.try_emplace(counts.window, time_.now());
       }
       if (answers_lost) {
         time_.schedule_after(
@@ -55,9 +55,9 @@
     });
   }
 
-  std::map<WindowNumber, TenantCounts> told;
-  std::map<WindowNumber, MonotonicTime> told_at;
-  bool differed = false;
+  std::map<WindowNumber, TenantCounts> reported;
+  std::map<WindowNumber, MonotonicTime> reported_at;
+  bool conflicting = false;
   bool down = false;
   bool answers_lost = false;
   std::uint64_t calls = 0;
@@ -68,9 +68,9 @@
 };
 
 struct Reporter {
-  Reporter(simulation::VirtualTime& time, StoreState& state, PlayedSink& sink, std::string name,
-           std::uint64_t life, std::function<bool()> first)
-      : random(life),
+  Reporter(simulation::VirtualTime& time, StoreState& state, FakeSink& sink, std::string name,
+           std::uint64_t incarnation, std::function<bool()> first)
+      : random(incarnation),
         store(time, state, time),
         wall(time, time),
         lease({time, time, random, store, logger},
@@ -78,7 +78,7 @@
                .history_key = "history",
                .offset_key = "offset",
                .node = NodeId(std::move(name)),
-               .life = life},
+               .incarnation = incarnation},
               {.to_claim = std::move(first), .to_hold = [] { return true; }}),
         reporter({time, store, logger, wall, lease, tally, sink},
                  {.key_prefix = "usage/", .windows = kWindows}) {
@@ -113,7 +113,7 @@
   }
   void restart(std::size_t node) {
     if (!alive[node]) {
-      retired_.push_back(std::move(nodes[node]));
+      replaced_.push_back(std::move(nodes[node]));
       alive[node] = true;
       nodes[node] = make(static_cast<int>(node));
     }
@@ -121,13 +121,14 @@
 
   simulation::VirtualTime time;
   StoreState state{time};
-  PlayedSink sink{time};
+  FakeSink sink{time};
   std::vector<std::unique_ptr<Reporter>> nodes;
   std::vector<bool> alive{true, true};
 
  private:
   std::unique_ptr<Reporter> make(int node) {
-    return std::make_unique<Reporter>(time, state, sink, "n" + std::to_string(node), ++lives_,
+    return std::make_unique<Reporter>(time, state, sink, "n" + std::to_string(node),
+                                      ++incarnations_,
                                       [this, node] { return node == 0 || !alive[0]; });
   }
   void count() {
@@ -141,89 +142,89 @@
     }
     for (std::size_t i = 0; i != nodes.size(); ++i) {
       if (alive[i] && nodes[i]) {
-        nodes[i]->tally.take(report);
+        nodes[i]->tally.add(report);
       }
     }
     time.schedule_after(10ms, [this] { count(); });
   }
 
-  std::uint64_t lives_ = 0;
+  std::uint64_t incarnations_ = 0;
   std::map<WindowNumber, TenantCounts> runs_;
-  std::vector<std::unique_ptr<Reporter>> retired_;
+  std::vector<std::unique_ptr<Reporter>> replaced_;
 };
 
 }  // namespace
 
 TEST_CASE("each window is reported once, whole and in time") {
-  ReporterFixture world;
-  world.advance(62s);
-  REQUIRE(world.sink.told.size() >= 11);
-  CHECK(world.sink.calls == world.sink.told.size());
-  for (const auto& [window, counts] : world.sink.told) {
+  ReporterFixture fixture;
+  fixture.advance(62s);
+  REQUIRE(fixture.sink.reported.size() >= 11);
+  CHECK(fixture.sink.calls == fixture.sink.reported.size());
+  for (const auto& [window, counts] : fixture.sink.reported) {
     CHECK(counts.at(kTenant) == 500);
-    CHECK(world.sink.told_at.at(window) -
+    CHECK(fixture.sink.reported_at.at(window) -
               MonotonicTime(kWindows.end_of(window).time_since_epoch()) <
           2s);
   }
 }
 
 TEST_CASE("a report without an answer is repeated as it was") {
-  ReporterFixture world;
-  world.sink.answers_lost = true;
-  world.advance(9s);
-  world.sink.answers_lost = false;
-  world.advance(20s);
-  CHECK_FALSE(world.sink.differed);
-  CHECK(world.sink.told.size() >= 4);
+  ReporterFixture fixture;
+  fixture.sink.answers_lost = true;
+  fixture.advance(9s);
+  fixture.sink.answers_lost = false;
+  fixture.advance(20s);
+  CHECK_FALSE(fixture.sink.conflicting);
+  CHECK(fixture.sink.reported.size() >= 4);
 }
 
 TEST_CASE("a successor tells what its predecessor wrote down, though it has counted otherwise") {
-  ReporterFixture world;
-  world.sink.down = true;
-  world.advance(6500ms);
-  REQUIRE(world.state.items.contains("usage/0"));
+  ReporterFixture fixture;
+  fixture.sink.down = true;
+  fixture.advance(6500ms);
+  REQUIRE(fixture.state.items.contains("usage/0"));
   // More comes in late: it must not change what was written down.
-  world.nodes[1]->tally.take({NodeId("late"), 1, {{WindowNumber(0), {{kTenant, 77}}}}});
-  world.kill(0);
-  world.advance(5s);
-  world.sink.down = false;
-  world.advance(2s);
-  REQUIRE(world.sink.told.contains(WindowNumber(0)));
-  CHECK(world.sink.told.at(WindowNumber(0)).at(kTenant) == 500);
+  fixture.nodes[1]->tally.add({NodeId("late"), 1, {{WindowNumber(0), {{kTenant, 77}}}}});
+  fixture.kill(0);
+  fixture.advance(5s);
+  fixture.sink.down = false;
+  fixture.advance(2s);
+  REQUIRE(fixture.sink.reported.contains(WindowNumber(0)));
+  CHECK(fixture.sink.reported.at(WindowNumber(0)).at(kTenant) == 500);
 }
 
-TEST_CASE("what the platform would not take in time is dropped, and told in the metrics") {
-  ReporterFixture world;
-  world.sink.down = true;
-  world.advance(30s);
-  world.sink.down = false;
-  world.advance(10s);
-  CHECK_FALSE(world.sink.told.contains(WindowNumber(0)));
-  CHECK(world.nodes[0]->reporter.statistics().missed >= 2);
-  CHECK(world.state.items.size() < 14);
+TEST_CASE("what the platform would not take in time is dropped, and reported in the metrics") {
+  ReporterFixture fixture;
+  fixture.sink.down = true;
+  fixture.advance(30s);
+  fixture.sink.down = false;
+  fixture.advance(10s);
+  CHECK_FALSE(fixture.sink.reported.contains(WindowNumber(0)));
+  CHECK(fixture.nodes[0]->reporter.statistics().missed >= 2);
+  CHECK(fixture.state.items.size() < 14);
 }
 
 TEST_CASE("never two reports of a window that differ, whatever fails") {
   CHECK(rc::check("kills, restarts, an outage of the store, lost answers on both sides", [] {
-    ReporterFixture world;
+    ReporterFixture fixture;
     for (int step = 0; step != 25; ++step) {
       const std::size_t node = *rc::gen::inRange<std::size_t>(0, 2);
-      MemoryStore& store = world.nodes[node]->store;
+      MemoryStore& store = fixture.nodes[node]->store;
       switch (*rc::gen::inRange(0, 7)) {
         case 0:
-          world.kill(node);
+          fixture.kill(node);
           break;
         case 1:
-          world.restart(node);
+          fixture.restart(node);
           break;
         case 2:
-          world.sink.down = !world.sink.down;
+          fixture.sink.down = !fixture.sink.down;
           break;
         case 3:
-          world.sink.answers_lost = !world.sink.answers_lost;
+          fixture.sink.answers_lost = !fixture.sink.answers_lost;
           break;
         case 4:
-          world.state.down = !world.state.down;
+          fixture.state.down = !fixture.state.down;
           break;
         case 5:
           store.answers_lost = !store.answers_lost;
@@ -232,34 +233,34 @@
           store.done_late = store.done_late == Duration::zero() ? 3s : Duration::zero();
           break;
       }
-      world.advance(*rc::gen::inRange(1, 50) * 100ms);
-      RC_ASSERT_FALSE(world.sink.differed);
+      fixture.advance(*rc::gen::inRange(1, 50) * 100ms);
+      RC_ASSERT_FALSE(fixture.sink.conflicting);
     }
   }));
 }
 
 // A window was reported twice with other counts, in a fleet whose store had been set back: what had
-// been written down before it was told was lost, and the next holder wrote what it had heard
+// been written down before it was reported was lost, and the next holder wrote what it had heard
 // itself.
-TEST_CASE("what was told stays as it was when the store comes back without it") {
-  ReporterFixture world;
-  world.advance(9s);
-  const StoreState::Copy copy = world.state.copy();
-  const std::size_t told = world.sink.told.size();
-  while (world.sink.told.size() == told) {
-    world.advance(50ms);
+TEST_CASE("what was reported stays as it was when the store comes back without it") {
+  ReporterFixture fixture;
+  fixture.advance(9s);
+  const StoreState::Copy copy = fixture.state.copy();
+  const std::size_t reported = fixture.sink.reported.size();
+  while (fixture.sink.reported.size() == reported) {
+    fixture.advance(50ms);
   }
-  const WindowNumber last = world.sink.told.rbegin()->first;
+  const WindowNumber last = fixture.sink.reported.rbegin()->first;
   // Another node heard of more runs of that window.
-  world.nodes[1]->tally.take({NodeId("late"), 9, {{last, {{kTenant, 5}}}}});
-  world.state.set_back_to(copy);
-  for (const auto& node : world.nodes) {
-    node->lease.on_store_set_back();
-    node->reporter.on_store_set_back();
+  fixture.nodes[1]->tally.add({NodeId("late"), 9, {{last, {{kTenant, 5}}}}});
+  fixture.state.set_back_to(copy);
+  for (const auto& node : fixture.nodes) {
+    node->lease.on_store_rolled_back();
+    node->reporter.on_store_rolled_back();
   }
-  world.alive[0] = false;
-  world.nodes[0]->lease.stop();
-  world.advance(12s);
-  CHECK(world.nodes[1]->lease.times_gained() == 1);
-  CHECK_FALSE(world.sink.differed);
+  fixture.alive[0] = false;
+  fixture.nodes[0]->lease.stop();
+  fixture.advance(12s);
+  CHECK(fixture.nodes[1]->lease.times_gained() == 1);
+  CHECK_FALSE(fixture.sink.conflicting);
 }
--- a/src/usage/tests/usage_tally_test.cc
+++ b/src/usage/tests/usage_tally_test.cc
@@ -24,8 +24,8 @@
   simulation::VirtualTime time;
   const WallClockEstimate wall(time, time);
   UsageTally tally;
-  UsageMeter meter(wall, time, {.node = NodeId("n"), .life = 1, .windows = kWindows},
-                   [&](const UsageReport& report) { tally.take(report); });
+  UsageMeter meter(wall, time, {.node = NodeId("n"), .incarnation = 1, .windows = kWindows},
+                   [&](const UsageReport& report) { tally.add(report); });
   meter.start();
   time.run_until(MonotonicTime(4900ms));
   meter.note_run(kTenant, 0ms);
@@ -42,7 +42,7 @@
   const WallClockEstimate wall(time, time);
   std::size_t reports = 0;
   MonotonicTime last{};
-  UsageMeter meter(wall, time, {.node = NodeId("n"), .life = 1, .windows = kWindows},
+  UsageMeter meter(wall, time, {.node = NodeId("n"), .incarnation = 1, .windows = kWindows},
                    [&](const UsageReport& report) {
                      ++reports;
                      last = time.now();
@@ -61,11 +61,11 @@
     UsageTally tally;
     TenantCounts truth;
     std::vector<UsageReport> sent;
-    const int lives = *rc::gen::inRange(1, 6);
-    for (int life = 0; life != lives; ++life) {
-      // Two lives of one node are two counters.
-      UsageReport report{NodeId("n" + std::to_string(life / 2)),
-                         static_cast<std::uint64_t>(life),
+    const int incarnations = *rc::gen::inRange(1, 6);
+    for (int incarnation = 0; incarnation != incarnations; ++incarnation) {
+      // Two incarnations of one node are two counters.
+      UsageReport report{NodeId("n" + std::to_string(incarnation / 2)),
+                         static_cast<std::uint64_t>(incarnation),
                          {{WindowNumber(7), {}}}};
       const int steps = *rc::gen::inRange(1, 8);
       for (int step = 0; step != steps; ++step) {
@@ -74,11 +74,11 @@
         ++truth[tenant];
         sent.push_back(report);
       }
-      tally.take(report);
+      tally.add(report);
     }
-    const int strays = *rc::gen::inRange(0, 30);
-    for (int stray = 0; stray != strays; ++stray) {
-      tally.take(sent[*rc::gen::inRange<std::size_t>(0, sent.size())]);
+    const int duplicates = *rc::gen::inRange(0, 30);
+    for (int duplicate = 0; duplicate != duplicates; ++duplicate) {
+      tally.add(sent[*rc::gen::inRange<std::size_t>(0, sent.size())]);
     }
     RC_ASSERT(tally.sum(WindowNumber(7)) == truth);
   }));
--- a/src/usage/types.h
+++ b/src/usage/types.h
@@ -41,17 +41,17 @@
   }
 };
 
-/// A datagram of one node. Counts only grow within one life, so that a report that is lost, doubled
-/// or late changes nothing but when its counts are known.
+/// A datagram of one node. Counts only grow within one incarnation, so that a report that is lost,
+/// doubled or late changes nothing but when its counts are known.
 struct UsageReport {
   NodeId node;
-  std::uint64_t life = 0;  ///< Drawn at the node's start.
+  std::uint64_t incarnation = 0;  ///< Drawn at the node's start.
   std::vector<WindowCounts> windows;
 
   template <class Archive>
   void serialize(Archive& archive, unsigned /*version*/) {
     archive& node;
-    archive& life;
+    archive& incarnation;
     archive& windows;
   }
 };
--- a/src/usage/usage_meter.cc
+++ b/src/usage/usage_meter.cc
@@ -7,7 +7,7 @@
 namespace {
 
 /// For this long after its end a window still changes: runs are noted when they have been seen.
-constexpr Duration kChangesAfterEnd = std::chrono::milliseconds(1500);
+constexpr Duration kMaxCountingDelay = std::chrono::milliseconds(1500);
 
 }  // namespace
 
@@ -21,23 +21,23 @@
 
 void UsageMeter::arm() {
   timer_.arm(options_.period, [this] {
-    tell(++reports_ % options_.whole_every == 0);
+    send_report(++reports_sent_ % options_.full_report_interval == 0);
     arm();
   });
 }
 
 void UsageMeter::flush() {
-  tell(true);
+  send_report(true);
 }
 
-void UsageMeter::tell(bool whole) {
+void UsageMeter::send_report(bool full) {
   const WallTime now = wall_.now();
   std::erase_if(windows_, [&](const auto& entry) {
     return options_.windows.end_of(entry.first) + options_.retention < now;
   });
-  UsageReport report{.node = options_.node, .life = options_.life, .windows = {}};
+  UsageReport report{.node = options_.node, .incarnation = options_.incarnation, .windows = {}};
   for (const auto& [window, counts] : windows_) {
-    if (whole || options_.windows.end_of(window) + kChangesAfterEnd >= now) {
+    if (full || options_.windows.end_of(window) + kMaxCountingDelay >= now) {
       report.windows.push_back({window, counts});
     }
   }
--- a/src/usage/usage_meter.h
+++ b/src/usage/usage_meter.h
@@ -14,7 +14,7 @@
 
 struct UsageMeterOptions {
   NodeId node;
-  std::uint64_t life = 0;  ///< Drawn at the node's start.
+  std::uint64_t incarnation = 0;  ///< Drawn at the node's start.
   WindowLength windows;
   /// Between two reports. What a killed node has counted since its last is lost: with 250 ms some
   /// 2.5% of a window of 5 s if all nodes die at once.
@@ -22,7 +22,7 @@
   /// How long after its end a window is told: until it has been reported for all nodes.
   Duration retention{std::chrono::seconds(12)};
   /// Of so many reports one tells all windows kept; the others tell those that changed lately.
-  std::uint32_t whole_every = 8;
+  std::uint32_t full_report_interval = 8;
 };
 
 /// Tells nothing while there is nothing to tell. One loop.
@@ -41,14 +41,14 @@
 
  private:
   void arm();
-  void tell(bool whole);
+  void send_report(bool full);
 
   const WallClockEstimate& wall_;
   UsageMeterOptions options_;
   Send send_;
   Timer timer_;
   std::map<WindowNumber, TenantCounts> windows_;
-  std::uint32_t reports_ = 0;
+  std::uint32_t reports_sent_ = 0;
 };
 
 }  // namespace ochrespring::usage
--- a/src/usage/usage_reporter.cc
+++ b/src/usage/usage_reporter.cc
@@ -16,7 +16,7 @@
 
 constexpr std::string_view kComponent = "usage";
 /// Windows kept in the store after they were written: more than ever are due at once.
-constexpr std::uint64_t kWindowsKept = 8;
+constexpr std::uint64_t kStoredWindowsKept = 8;
 
 }  // namespace
 
@@ -25,7 +25,7 @@
       options_(std::move(options)),
       timer_(world.timers),
       started_(world.wall.now()),
-      next_(options_.windows.at(started_)) {}
+      next_window_(options_.windows.at(started_)) {}
 
 void UsageReporter::start() {
   timer_.arm(options_.period, [this] {
@@ -35,34 +35,34 @@
 }
 
 bool UsageReporter::is_due(WindowNumber window) const {
-  return options_.windows.end_of(window) + options_.settle <= world_.wall.now();
+  return options_.windows.end_of(window) + options_.settling_time <= world_.wall.now();
 }
 
-bool UsageReporter::is_late(WindowNumber window) const {
-  return options_.windows.end_of(window) + options_.due < world_.wall.now();
+bool UsageReporter::is_expired(WindowNumber window) const {
+  return options_.windows.end_of(window) + options_.report_deadline < world_.wall.now();
 }
 
-void UsageReporter::reach_back() {
+void UsageReporter::include_earlier_windows() {
   const auto oldest = world_.tally.oldest();
-  if (oldest && *oldest < next_ && !is_late(*oldest)) {
-    next_ = *oldest;
+  if (oldest && *oldest < next_window_ && !is_expired(*oldest)) {
+    next_window_ = *oldest;
   }
 }
 
-void UsageReporter::drop_late(bool holding) {
-  while (is_late(next_)) {
-    if (told_.erase(next_) == 0 && holding) {
+void UsageReporter::drop_expired(bool holding) {
+  while (is_expired(next_window_)) {
+    if (reported_.erase(next_window_) == 0 && holding) {
       ++statistics_.missed;
-      log("usage not reported in time", next_, "");
+      log("usage not reported in time", next_window_, "");
     }
-    next_ = next_.next();
+    next_window_ = next_window_.next();
   }
-  world_.tally.forget_before(next_);
+  world_.tally.discard_before(next_window_);
 }
 
-std::optional<WindowNumber> UsageReporter::next_window() const {
-  for (WindowNumber window = next_; is_due(window); window = window.next()) {
-    if (!told_.contains(window)) {
+std::optional<WindowNumber> UsageReporter::window_to_report() const {
+  for (WindowNumber window = next_window_; is_due(window); window = window.next()) {
+    if (!reported_.contains(window)) {
       return window;
     }
   }
@@ -71,33 +71,33 @@
 
 void UsageReporter::step() {
   const auto fence = world_.lease.fence();
-  reach_back();
-  drop_late(fence.has_value());
-  const bool learnt = world_.wall.now() - started_ >= options_.learn;
-  if (!fence || calling_ || !learnt) {
+  include_earlier_windows();
+  drop_expired(fence.has_value());
+  const bool learned = world_.wall.now() - started_ >= options_.learning_time;
+  if (!fence || call_pending_ || !learned) {
     return;
   }
-  const auto window = next_window();
+  const auto window = window_to_report();
   if (!window) {
     return;
   }
-  if (!listed_) {
-    list(*fence);
-  } else if (!written_.contains(*window)) {
-    write_down(*window);
+  if (!stored_is_current_) {
+    read_stored(*fence);
+  } else if (!stored_.contains(*window)) {
+    store_sum(*window);
   } else {
-    tell(*fence, *window);
+    send_report(*fence, *window);
   }
 }
 
-void UsageReporter::list(Fence fence) {
-  calling_ = true;
+void UsageReporter::read_stored(Fence fence) {
+  call_pending_ = true;
   world_.store.list(options_.key_prefix, [this, fence](auto result) {
-    calling_ = false;
+    call_pending_ = false;
     if (!result || world_.lease.fence() != fence) {
       return;
     }
-    written_.clear();
+    stored_.clear();
     for (const shared_store::Change& item : result.value().items) {
       const std::string_view number = std::string_view(item.key).substr(options_.key_prefix.size());
       std::uint64_t window = 0;
@@ -108,45 +108,45 @@
         log("usage in the store not understood", WindowNumber(window), item.key);
         continue;
       }
-      written_[WindowNumber(window)] = std::move(counts.value());
+      stored_[WindowNumber(window)] = std::move(counts.value());
     }
-    listed_ = true;
+    stored_is_current_ = true;
     step();
   });
 }
 
-void UsageReporter::write_down(WindowNumber window) {
-  calling_ = true;
+void UsageReporter::store_sum(WindowNumber window) {
+  call_pending_ = true;
   TenantCounts counts = world_.tally.sum(window);
-  world_.store.commit({.conditions = {world_.lease.still_held(), {key_of(window), {}}},
+  world_.store.commit({.conditions = {world_.lease.held_condition(), {key_of(window), {}}},
                        .writes = {{key_of(window), wire::encode(counts), std::nullopt}},
                        .removals = keys_to_remove()},
                       [this, window, counts](auto result) {
-                        calling_ = false;
+                        call_pending_ = false;
                         if (!result) {
                           // Whether it was done, or somebody else did it, only the store can tell.
-                          listed_ = false;
+                          stored_is_current_ = false;
                           log("usage not written down", window, result.error().message);
                           return;
                         }
-                        written_[window] = counts;
-                        std::erase_if(written_, [&](const auto& entry) {
-                          return entry.first.value() + kWindowsKept < window.value();
+                        stored_[window] = counts;
+                        std::erase_if(stored_, [&](const auto& entry) {
+                          return entry.first.value() + kStoredWindowsKept < window.value();
                         });
                         step();
                       });
 }
 
-void UsageReporter::on_store_set_back() {
-  listed_ = false;
-  for (const auto& [window, counts] : written_) {
+void UsageReporter::on_store_rolled_back() {
+  stored_is_current_ = false;
+  for (const auto& [window, counts] : stored_) {
     world_.store.commit({.conditions = {{key_of(window), {}}},
                          .writes = {{key_of(window), wire::encode(counts), std::nullopt}},
                          .removals = {}},
                         [this, window = window](const auto& result) {
-                          const bool there =
+                          const bool stored =
                               result || result.error().code == shared_store::StoreErrc::kConflict;
-                          if (!there) {
+                          if (!stored) {
                             log("usage not written down again", window, result.error().message);
                           }
                         });
@@ -155,28 +155,28 @@
 
 std::vector<std::string> UsageReporter::keys_to_remove() const {
   std::vector<std::string> keys;
-  for (const auto& [window, counts] : written_) {
-    if (window.value() + kWindowsKept < next_.value()) {
+  for (const auto& [window, counts] : stored_) {
+    if (window.value() + kStoredWindowsKept < next_window_.value()) {
       keys.push_back(key_of(window));
     }
   }
   return keys;
 }
 
-void UsageReporter::tell(Fence fence, WindowNumber window) {
-  calling_ = true;
-  world_.sink.report_usage(fence, {window, written_.at(window)}, [this, window](auto result) {
-    calling_ = false;
+void UsageReporter::send_report(Fence fence, WindowNumber window) {
+  call_pending_ = true;
+  world_.sink.report_usage(fence, {window, stored_.at(window)}, [this, window](auto result) {
+    call_pending_ = false;
     if (result) {
       ++statistics_.reported;
-      told_.insert(window);
+      reported_.insert(window);
       log("usage reported", window, "");
       return;
     }
     log("usage report failed", window, result.error().message);
     if (result.error().code == DutyErrc::kRefused) {
       ++statistics_.refused;
-      world_.lease.give_up();
+      world_.lease.relinquish();
     }
   });
 }
@@ -186,10 +186,10 @@
 }
 
 void UsageReporter::log(std::string_view message, WindowNumber window, std::string_view detail) {
-  const auto written = written_.find(window);
+  const auto stored = stored_.find(window);
   std::uint64_t runs = 0;
-  if (written != written_.end()) {
-    for (const auto& [tenant, count] : written->second) {
+  if (stored != stored_.end()) {
+    for (const auto& [tenant, count] : stored->second) {
       runs += count;
     }
   }
--- a/src/usage/usage_reporter.h
+++ b/src/usage/usage_reporter.h
@@ -22,13 +22,13 @@
 struct UsageReporterOptions {
   std::string key_prefix;  ///< Of the store; a window's number follows.
   WindowLength windows;
-  Duration due{
+  Duration report_deadline{
       std::chrono::seconds(10)};  ///< From a window's end; later reports are worth nothing.
   /// From a window's end to its adding up: reports of nodes are under way, and clocks differ.
-  Duration settle{std::chrono::milliseconds(1200)};
+  Duration settling_time{std::chrono::milliseconds(1200)};
   Duration period{std::chrono::milliseconds(250)};  ///< Between two looks at what is to be done.
   /// A node that has started is told of all windows kept within this time (UsageMeterOptions).
-  Duration learn{std::chrono::milliseconds(2500)};
+  Duration learning_time{std::chrono::milliseconds(2500)};
 };
 
 struct UsageReporterStatistics {
@@ -61,25 +61,25 @@
 
   void start();
   /// This node has begun to hold the duties: what others have written is to be read first.
-  void on_gained() { listed_ = false; }
+  void on_gained() { stored_is_current_ = false; }
   /// The store may have lost what was written down: it is written again as it was, by any node that
   /// knows, before another can write what it has heard, which may differ from what was told.
-  void on_store_set_back();
+  void on_store_rolled_back();
   const UsageReporterStatistics& statistics() const { return statistics_; }
 
  private:
   void step();
-  void list(duties::Fence fence);
-  void write_down(WindowNumber window);
-  void tell(duties::Fence fence, WindowNumber window);
+  void read_stored(duties::Fence fence);
+  void store_sum(WindowNumber window);
+  void send_report(duties::Fence fence, WindowNumber window);
   bool is_due(WindowNumber window) const;
-  bool is_late(WindowNumber window) const;
+  bool is_expired(WindowNumber window) const;
   /// Windows of before this node's start may be its to report: the others tell it of them.
-  void reach_back();
+  void include_earlier_windows();
   /// Forgets the windows whose time has run out.
-  void drop_late(bool holding);
+  void drop_expired(bool holding);
   /// The oldest window that is to be told and has not been; none: nothing to do now.
-  std::optional<WindowNumber> next_window() const;
+  std::optional<WindowNumber> window_to_report() const;
   std::string key_of(WindowNumber window) const;
   std::vector<std::string> keys_to_remove() const;
   void log(std::string_view message, WindowNumber window, std::string_view detail);
@@ -88,11 +88,11 @@
   UsageReporterOptions options_;
   Timer timer_;
   WallTime started_;
-  bool calling_ = false;  ///< One call at a time.
-  bool listed_ = false;   ///< Whether `written_` holds what the store holds.
-  std::map<WindowNumber, TenantCounts> written_;
-  std::set<WindowNumber> told_;
-  WindowNumber next_;  ///< The time of all windows before this one has run out.
+  bool call_pending_ = false;       ///< One call at a time.
+  bool stored_is_current_ = false;  ///< Whether `stored_` holds what the store holds.
+  std::map<WindowNumber, TenantCounts> stored_;
+  std::set<WindowNumber> reported_;
+  WindowNumber next_window_;  ///< The time of all windows before this one has run out.
   UsageReporterStatistics statistics_;
 };
 
--- a/src/usage/usage_tally.cc
+++ b/src/usage/usage_tally.cc
@@ -4,10 +4,10 @@
 
 namespace ochrespring::usage {
 
-void UsageTally::take(const UsageReport& report) {
-  for (const WindowCounts& told : report.windows) {
-    TenantCounts& known = windows_[told.window][{report.node, report.life}];
-    for (const auto& [tenant, runs] : told.counts) {
+void UsageTally::add(const UsageReport& report) {
+  for (const WindowCounts& reported : report.windows) {
+    TenantCounts& known = windows_[reported.window][{report.node, report.incarnation}];
+    for (const auto& [tenant, runs] : reported.counts) {
       std::uint32_t& kept = known[tenant];
       kept = std::max(kept, runs);
     }
@@ -32,7 +32,7 @@
   return windows_.empty() ? std::nullopt : std::optional(windows_.begin()->first);
 }
 
-void UsageTally::forget_before(WindowNumber window) {
+void UsageTally::discard_before(WindowNumber window) {
   windows_.erase(windows_.begin(), windows_.lower_bound(window));
 }
 
--- a/src/usage/wall_clock_estimate.cc
+++ b/src/usage/wall_clock_estimate.cc
@@ -12,18 +12,18 @@
 }
 
 WallTime WallClockEstimate::now() const {
-  return WallTime(clock_.now().time_since_epoch() + median_);
+  return WallTime(clock_.now().time_since_epoch() + median_offset_);
 }
 
 void WallClockEstimate::sample() {
-  ahead_.push_back(clock_.wall_now().time_since_epoch() - clock_.now().time_since_epoch());
-  if (ahead_.size() > options_.samples) {
-    ahead_.pop_front();
+  wall_offsets_.push_back(clock_.wall_now().time_since_epoch() - clock_.now().time_since_epoch());
+  if (wall_offsets_.size() > options_.samples) {
+    wall_offsets_.pop_front();
   }
-  std::vector<Duration> sorted(ahead_.begin(), ahead_.end());
+  std::vector<Duration> sorted(wall_offsets_.begin(), wall_offsets_.end());
   const auto middle = sorted.begin() + static_cast<std::ptrdiff_t>((sorted.size() - 1) / 2);
   std::nth_element(sorted.begin(), middle, sorted.end());
-  median_ = *middle;
+  median_offset_ = *middle;
   timer_.arm(options_.period, [this] { sample(); });
 }
 
--- a/src/usage/wall_clock_estimate.h
+++ b/src/usage/wall_clock_estimate.h
@@ -32,8 +32,8 @@
   const Clock& clock_;
   WallClockOptions options_;
   Timer timer_;
-  std::deque<Duration> ahead_;  ///< Of the monotonic clock, oldest first.
-  Duration median_{};
+  std::deque<Duration> wall_offsets_;  ///< Of the monotonic clock, oldest first.
+  Duration median_offset_{};
 };
 
 }  // namespace ochrespring::usage
