--- a/src/duties/duty_lease.cc
+++ b/src/duties/duty_lease.cc
@@ -17,10 +17,10 @@
 using shared_store::StoreRevision;
 
 constexpr std::string_view kComponent = "duties";
-/// A holder that is unfit for this long gives the lease back: views of the fleet differ for a while
-/// when many nodes come and go.
+/// How long a holder may be ineligible before it releases the lease. While many nodes join and
+/// leave, their views of the fleet differ for a while.
 constexpr Duration kIneligibilityGracePeriod = std::chrono::seconds(5);
-/// Claims of different nodes come apart by up to this part of the pause between them.
+/// Fraction by which the claim interval is randomized, to spread the claims of different nodes.
 constexpr double kClaimJitter = 0.3;
 
 }  // namespace
@@ -76,13 +76,13 @@
       return;
     case Chart::Action::kAnnounceGained:
       ++times_gained_;
-      log("duties held", "");
+      log("duty lease acquired", "");
       if (on_gained_) {
         on_gained_();
       }
       return;
     case Chart::Action::kAnnounceLost:
-      log("duties no longer held", machine_.state_name());
+      log("duty lease lost", machine_.state_name());
       return;
     case Chart::Action::kSendRelease:
       send_release();
@@ -123,7 +123,7 @@
                        post(Event::kClaimFailed);
                        return;
                      }
-                     // An earlier claim was done although its answer was lost.
+                     // An earlier claim succeeded but its answer was lost.
                      lease_ = record.value().lease;
                      holder_revision_ = result.value().revision;
                      usable_from_ = world_.clock.now() + options_.time_to_live;
@@ -143,7 +143,7 @@
         if (result) {
           claim_.history_revision = result.value().revision;
           auto history = wire::decode<HolderHistory>(result.value().value.value_or(""));
-          // What cannot be understood may have named this node: as if it had.
+          // An undecodable history may have named this node; assume that it did.
           claim_.history = history ? history.value() : HolderHistory{{}, options_.node};
         }
         read_offset();
@@ -154,7 +154,7 @@
   world_.store.get(
       options_.offset_key, if_current([this](auto result) {
         if (!result && result.error().code != StoreErrc::kNotFound) {
-          fail_claim("read offset of fences", result.error());
+          fail_claim("read fence offset", result.error());
           return;
         }
         update_era();
@@ -163,7 +163,7 @@
           apply_stored_offset(result.value().value.value_or(""));
         } else {
           claim_.offset_revision = {};
-          // None is there yet, or the first holder's is lost.
+          // Either no offset was stored yet, or a rollback removed it.
           claim_.stored_offset = rolled_back_at_ ? std::optional(FenceOffset()) : std::nullopt;
         }
         offset_ = compute_fence_offset(era_.value_or(StoreEra()), claim_.stored_offset);
@@ -179,13 +179,13 @@
 void DutyLease::apply_stored_offset(std::string_view bytes) {
   const auto stored = wire::decode<FenceOffset>(bytes);
   if (!stored) {
-    // Made anew from the era alone it is at least as high as any before.
-    log("offset of fences not understood", stored.error().message);
+    // Computed from the era alone, the offset is at least as high as any earlier one.
+    log("stored fence offset cannot be decoded", stored.error().message);
     claim_.stored_offset = FenceOffset();
     return;
   }
   claim_.stored_offset = stored.value();
-  // A node that has started may not know how often the store was set back.
+  // A newly started node may not know the current store era yet.
   world_.store.hear_of(StoreRevision(0, stored.value().era));
   era_ = world_.store.era();
 }
@@ -220,7 +220,7 @@
                       }));
 }
 
-/// The store answers with the revision of the last write: that of the holder's key.
+/// The holder entry is written last: the store returns the revision of the last write.
 std::vector<shared_store::Write> DutyLease::claiming_writes() const {
   HolderHistory history = claim_.history;
   if (history.last != options_.node) {
@@ -238,7 +238,7 @@
 
 void DutyLease::on_committed(StoreRevision revision) {
   if (revision.era() > offset_.era) {
-    // The store has been set back meanwhile, and the fence is not above the ones before.
+    // The store was rolled back during the claim, so the fence may not exceed earlier ones.
     post(Event::kClaimFailed);
     return;
   }
@@ -271,11 +271,12 @@
 }
 
 void DutyLease::fail_claim(std::string_view step, const StoreError& error) {
-  log("claim of duties failed", std::string(step) + ": " + error.message);
+  log("duty claim failed", std::string(step) + ": " + error.message);
   post(Event::kClaimFailed);
 }
 
-/// The lease is sure until its life has passed since the call that granted or renewed it left.
+/// The lease is valid for its time to live, counted from when the granting or renewing call was
+/// sent.
 void DutyLease::extend_deadline(MonotonicTime sent) {
   deadline_ = sent + options_.time_to_live - options_.safety_margin;
   deadline_timer_.arm(std::max(deadline_ - world_.clock.now(), Duration::zero()),
@@ -293,7 +294,7 @@
   } else if (!ineligible_since_) {
     ineligible_since_ = now;
   }
-  // Asked again should no answer come.
+  // Renews again if no answer arrives.
   timer_.arm(options_.renewal_retry_delay * 2, [this] { post(Event::kRenewalDue); });
   world_.store.renew_lease(*lease_, if_current([this, now](auto result) {
     if (!result && result.error().code == StoreErrc::kNotFound) {
--- a/src/duties/duty_lease.h
+++ b/src/duties/duty_lease.h
@@ -1,5 +1,5 @@
-// The lease under which one node of the fleet does what only one may do at a time: reporting usage,
-// ordering servers, giving orders to engines.
+// Lease that elects the one node of the fleet that reports usage, orders servers and sends orders
+// to engines.
 #pragma once
 
 #include <chrono>
@@ -21,37 +21,40 @@
 namespace ochrespring::duties {
 
 struct DutyLeaseOptions {
-  std::string holder_key;   ///< Of the store; bound to the lease.
-  std::string history_key;  ///< Of the store; stays.
-  std::string offset_key;   ///< Of the store; stays.
+  std::string holder_key;   ///< Store key of the HolderRecord; bound to the lease.
+  std::string history_key;  ///< Store key of the HolderHistory; not bound to the lease.
+  std::string offset_key;   ///< Store key of the FenceOffset; not bound to the lease.
   NodeId node;
-  std::uint64_t incarnation = 0;  ///< Drawn at the node's start.
+  std::uint64_t incarnation = 0;  ///< Random number drawn when the node starts.
   Duration time_to_live{std::chrono::milliseconds(3000)};
-  /// Kept back from the lease: a call that leaves in time also arrives in time.
+  /// Subtracted from the time to live, so that a call sent before the deadline also arrives before
+  /// the lease expires.
   Duration safety_margin{std::chrono::milliseconds(400)};
-  Duration renewal_period{std::chrono::milliseconds(900)};       ///< Between two renewals.
-  Duration renewal_retry_delay{std::chrono::milliseconds(300)};  ///< After a renewal that failed.
-  Duration claim_period{std::chrono::milliseconds(1500)};        ///< Between two claims.
-  /// Between two looks at whether this node is the first choice, which cost nothing.
+  Duration renewal_period{std::chrono::milliseconds(900)};       ///< Interval between renewals.
+  Duration renewal_retry_delay{std::chrono::milliseconds(300)};  ///< Delay after a failed renewal.
+  Duration claim_period{std::chrono::milliseconds(1500)};  ///< Average interval between claims.
+  /// Minimum delay before eligibility is checked again. The check makes no store call.
   Duration eligibility_poll_period{std::chrono::milliseconds(300)};
 };
 
-/// One lease for all duties, held by at most one node. The fence is the revision of the store at
-/// which the holder took it, so that every later holder has a higher one; FenceOffset keeps that
-/// true when the store comes back from an older copy. The lease may be lost then while its holder
-/// still trusts it: nobody acts in a new life of the store before a whole lease has passed.
+/// Lease for all duties, held by at most one node. The fence is derived from the store revision of
+/// the claim, so every later holder has a higher one; FenceOffset preserves this when the store is
+/// restored from an older copy. Such a restore may drop a lease that its holder still relies on, so
+/// no node acts in a new store era before a full lease has passed.
 ///
 ///     if (const auto fence = lease.fence()) {
-///       cloud.report_usage(*fence, ...);  // At most `margin` from now on the way.
+///       cloud.report_usage(*fence, ...);  // Must arrive within `safety_margin`.
 ///     }
 ///
-/// fence() is empty as soon as this node cannot be sure, by its own monotonic clock: after a
-/// freeze, or while the store is out, before anybody else can have taken over. A node that held the
-/// duties before the present holder waits for a whole lease before it acts again: no call of its
-/// own then frames one of the other's within a lease. The chart `duty_lease` runs it; one loop.
+/// fence() becomes empty as soon as this node cannot be sure, by its own monotonic clock, that it
+/// still holds the lease, for instance after a suspension or during an outage of the store. This
+/// happens before another node can take over. A node that held the duties before the previous
+/// holder waits for a full lease before it acts again, so that its calls never come both before and
+/// after those of another node within one lease. Driven by the chart `duty_lease`. Runs on one
+/// loop.
 class DutyLease {
  public:
-  /// References outlive the lease.
+  /// The referenced objects must outlive the lease.
   struct World {
     const Clock& clock;
     TimerService& timers;
@@ -59,28 +62,29 @@
     shared_store::SharedStore& store;
     logging::Logger& logger;
   };
-  /// What the node is fit for, asked again and again.
+  /// Whether this node may claim and hold the lease; both are evaluated repeatedly.
   struct Eligibility {
-    std::function<bool()> to_claim;  ///< Whether it is the first choice among all nodes.
-    std::function<bool()> to_hold;   ///< Whether it is told what a holder needs to know.
+    std::function<bool()> to_claim;  ///< Whether this node is the preferred holder among all nodes.
+    std::function<bool()> to_hold;   ///< Whether this node receives the data that a holder needs.
   };
 
   DutyLease(World world, DutyLeaseOptions options, Eligibility eligibility);
 
   void start();
-  /// Gives the lease back, for good.
+  /// Releases the lease permanently.
   void stop() { post(Event::kStopRequested); }
-  /// The store has come back from an older copy: the lease may be lost, and what it was bound to.
+  /// The store was restored from an older copy: the lease and the entries bound to it may be lost.
   void on_store_rolled_back();
-  /// The lease is not to be trusted any more: whoever was called knows a later holder.
+  /// Releases the lease, because another service has seen a higher fence.
   void relinquish() { post(Event::kReleaseRequested); }
 
-  /// While this node may act.
+  /// The fence to act under; empty while this node may not act.
   std::optional<Fence> fence() const;
-  /// For transactions: the key bound to the lease is as this node wrote it. Whatever depends on it
-  /// is only done while nobody else has taken over.
+  /// Transaction condition: the holder entry is as this node wrote it. The transaction then
+  /// succeeds only while no other node has taken over.
   shared_store::Condition held_condition() const { return {options_.holder_key, holder_revision_}; }
-  /// Called each time this node begins to hold; it may act a little later.
+  /// Sets the callback for each time this node acquires the lease. fence() may become available
+  /// later.
   void on_gained(std::function<void()> callback) { on_gained_ = std::move(callback); }
   std::uint64_t times_gained() const { return times_gained_; }
 
@@ -95,7 +99,7 @@
 
   void post(Event event);
   void schedule_claim();
-  /// A claim is five calls, one after the other; the first that fails ends it.
+  /// A claim consists of five consecutive calls; the first failure ends it.
   void read_holder();
   void read_history();
   void read_offset();
@@ -103,9 +107,9 @@
   void grant();
   void commit();
   std::vector<shared_store::Write> claiming_writes() const;
-  /// The claim that was sent is done, at a revision of the store.
+  /// The claim was committed at `revision`.
   void on_committed(shared_store::StoreRevision revision);
-  /// Another call may have shown that the store has been set back.
+  /// Detects a new store era, which any store call may have revealed.
   void update_era();
   MonotonicTime earliest_use(bool held_before) const;
   Duration claim_delay() const;
@@ -115,7 +119,7 @@
   void send_release();
   void extend_deadline(MonotonicTime sent);
   void log(std::string_view message, std::string_view detail);
-  /// Wraps a callback so that it is dropped once another call has been started.
+  /// Wraps a callback so that it is dropped once a newer call has started.
   template <class Function>
   auto if_current(Function function);
 
@@ -123,26 +127,27 @@
   DutyLeaseOptions options_;
   Eligibility eligibility_;
   statechart::Machine<Chart> machine_;
-  Timer timer_;  ///< The next claim or renewal.
+  Timer timer_;  ///< Next claim or renewal.
   Timer deadline_timer_;
-  std::uint64_t current_call_ = 0;  ///< Number of the call that is waited for.
+  std::uint64_t current_call_ = 0;  ///< Number of the pending call.
   std::optional<shared_store::LeaseId> lease_;
-  /// What the claim under way has read.
+  /// Values read during the current claim.
   struct Claim {
     shared_store::StoreRevision history_revision;
     HolderHistory history;
     shared_store::StoreRevision offset_revision;
-    std::optional<FenceOffset> stored_offset;  ///< None before the first holder of all.
+    std::optional<FenceOffset> stored_offset;  ///< Empty before the first holder of all.
   };
   Claim claim_;
   FenceOffset offset_;
   shared_store::StoreRevision holder_revision_;
   Fence fence_;
-  std::optional<shared_store::StoreEra> era_;    ///< Of the store, when this node last looked.
-  std::optional<MonotonicTime> rolled_back_at_;  ///< When the store was last found to be.
-  MonotonicTime deadline_{};                     ///< Until then nobody else can have the lease.
-  MonotonicTime usable_from_{};                  ///< No act before this.
-  std::optional<MonotonicTime> claimed_at_;      ///< When the last claim began.
+  std::optional<shared_store::StoreEra> era_;  ///< Last known store era.
+  std::optional<MonotonicTime>
+      rolled_back_at_;                       ///< When the last rollback of the store was detected.
+  MonotonicTime deadline_{};                 ///< No other node can hold the lease before this time.
+  MonotonicTime usable_from_{};              ///< fence() stays empty before this time.
+  std::optional<MonotonicTime> claimed_at_;  ///< Start of the last claim.
   std::optional<MonotonicTime> ineligible_since_;
   std::uint64_t times_gained_ = 0;
   std::function<void()> on_gained_;
--- a/src/duties/errc.h
+++ b/src/duties/errc.h
@@ -8,16 +8,17 @@
 namespace ochrespring::duties {
 
 enum class DutyErrc {
-  kNotDone,        ///< Certainly without effect: no connection, or the other side said so.
-  kUnknownEffect,  ///< No answer: it may have been done, or may be done later.
-  kRateLimited,    ///< Too many calls: without effect.
-  kRefused,        ///< Refused for good: a higher fence was seen, or it cannot be had now.
+  kNotDone,        ///< No effect: no connection, or the other side reported it.
+  kUnknownEffect,  ///< No answer: the call may have been executed, or may still be.
+  kRateLimited,    ///< Too many calls; no effect.
+  kRefused,        ///< Not retryable: the other side knows a higher fence, or the request cannot be
+                   ///< granted now.
 };
 
 using DutyError = LayerError<DutyErrc>;
 using DutyResult = Result<void, DutyError>;
 
-/// Completion of a call; runs once, on the caller's loop, never inside the call.
+/// Completion callback; runs once, on the caller's loop, never from within the call.
 using DutyCallback = std::function<void(DutyResult)>;
 
 }  // namespace ochrespring::duties
--- a/src/duties/fence_offset.cc
+++ b/src/duties/fence_offset.cc
@@ -4,8 +4,9 @@
 
 namespace {
 
-/// More changes than the store counts in one life: at 1,000 a second it takes 49 days. Fences stay
-/// below 2^53, which every reader of JSON knows exactly, for two million lives.
+/// Exceeds the number of revisions in one store era: at 1,000 changes a second it is reached after
+/// 49 days. Fences stay below 2^53, the range that every JSON parser represents exactly, for two
+/// million eras.
 constexpr std::uint64_t kFencesPerEra = std::uint64_t{1} << 32U;
 
 }  // namespace
--- a/src/duties/tests/duty_lease_test.cc
+++ b/src/duties/tests/duty_lease_test.cc
@@ -1,4 +1,4 @@
-// One holder at a time, whatever happens to nodes and to the store.
+// Tests that at most one node holds the duties during node and store failures.
 #include "duties/duty_lease.h"
 
 #include <doctest/doctest.h>
@@ -32,10 +32,10 @@
   Fence fence;
 };
 
-/// Injected ones.
+/// Injected faults that the checker must detect.
 struct Defects {
-  Duration safety_margin{400ms};  ///< Below zero: a holder trusts its lease after its end.
-  bool still_clock = false;  ///< Nodes go by a clock that stands still while they are suspended.
+  Duration safety_margin{400ms};  ///< Negative: a holder relies on its lease after it expired.
+  bool still_clock = false;       ///< Nodes use a clock that stops while they are suspended.
 };
 
 struct Candidate {
@@ -64,7 +64,7 @@
   DutyLease lease;
 };
 
-/// Fleet that act as often as they may.
+/// Several nodes on one store; each uses its fence whenever it has one.
 class Fleet {
  public:
   explicit Fleet(std::size_t count, Defects defects = {}) : alive(count, true), defects_(defects) {
@@ -94,7 +94,7 @@
     }
     return std::nullopt;
   }
-  /// The store comes back from a copy; each node learns of it a while later, by a look.
+  /// Restores the store from a copy; each node is notified some time later.
   void roll_back_to(const StoreState::Copy& copy) {
     state.set_back_to(copy);
     for (std::size_t i = 0; i != nodes.size(); ++i) {
@@ -106,8 +106,9 @@
                                    [node] { node->lease.on_store_rolled_back(); });
     }
   }
-  /// What the rules say of the uses seen: fences never fall and name one machine, and no machine
-  /// uses on both sides of another's act within a lease.
+  /// Checks the recorded uses: fences never decrease, each belongs to one machine, and no machine
+  /// uses its fence both before and after another machine within one lease. Returns the first
+  /// violation, or an empty string.
   std::string violation() const {
     std::map<Fence, std::size_t> owners;
     for (std::size_t i = 0; i != uses.size(); ++i) {
@@ -115,7 +116,7 @@
         return "two machines shared a fence";
       }
       if (i != 0 && uses[i].fence < uses[i - 1].fence) {
-        return "a fence fell";
+        return "a fence decreased";
       }
     }
     for (std::size_t i = 0; i != uses.size(); ++i) {
@@ -123,7 +124,7 @@
       for (std::size_t j = i + 1; j != uses.size() && uses[j].at - uses[i].at < kLease; ++j) {
         other = other || uses[j].machine != uses[i].machine;
         if (other && uses[j].machine == uses[i].machine) {
-          return "a machine acted before and after another within a lease";
+          return "a machine used its fence before and after another within a lease";
         }
       }
     }
@@ -140,7 +141,7 @@
   std::unique_ptr<Candidate> make(std::size_t machine) {
     return std::make_unique<Candidate>(
         time, state, machine, ++incarnations_, defects_, [this, machine] {
-          // Whoever lives and comes first; all look at the same.
+          // The first node that is up and can reach the store is eligible.
           for (std::size_t i = 0; i != machine; ++i) {
             if (alive[i] && !nodes[i]->store.cut && !nodes[i]->store.turned_away &&
                 !nodes[i]->machine.suspended()) {
@@ -163,12 +164,13 @@
 
   Defects defects_;
   std::uint64_t incarnations_ = 0;
-  std::vector<std::unique_ptr<Candidate>> killed_;  ///< Timers may still name them.
+  /// Kept alive because scheduled timers may still refer to them.
+  std::vector<std::unique_ptr<Candidate>> killed_;
 };
 
 }  // namespace
 
-TEST_CASE("the first choice takes the lease and keeps it; the others leave the store alone") {
+TEST_CASE("the eligible node acquires and keeps the lease; the others make no store calls") {
   Fleet fleet(5);
   fleet.advance(2s);
   REQUIRE(fleet.holder() == 0);
@@ -179,7 +181,8 @@
   CHECK(fleet.violation().empty());
 }
 
-TEST_CASE("a killed holder is followed within its lease and a claim") {
+TEST_CASE(
+    "after the holder is killed, another node takes over within a lease and a claim interval") {
   Fleet fleet(3);
   fleet.advance(5s);
   fleet.kill(0);
@@ -188,7 +191,7 @@
   CHECK(fleet.violation().empty());
 }
 
-TEST_CASE("a planned stop hands over at once") {
+TEST_CASE("a planned stop hands the lease over immediately") {
   Fleet fleet(3);
   fleet.advance(5s);
   fleet.nodes[0]->lease.stop();
@@ -197,7 +200,7 @@
   CHECK(fleet.holder() == 1);
 }
 
-TEST_CASE("a suspended holder never uses on its old lease when it wakes") {
+TEST_CASE("a suspended holder does not use its expired lease after it resumes") {
   Fleet fleet(3);
   fleet.advance(5s);
   fleet.nodes[0]->machine.suspend(6s);
@@ -210,7 +213,7 @@
 }
 
 TEST_CASE(
-    "holders suspended in a series, each before the one before has woken, never act by turns") {
+    "successive holders suspended before the previous one resumes never alternate within a lease") {
   Fleet fleet(6);
   fleet.advance(5s);
   for (int round = 0; round != 20; ++round) {
@@ -222,7 +225,7 @@
   }
 }
 
-TEST_CASE("the tests see a holder whose clock stands still while it is suspended") {
+TEST_CASE("the checker detects a holder whose clock stops while it is suspended") {
   Fleet fleet(3, {.still_clock = true});
   fleet.advance(5s);
   fleet.nodes[0]->machine.suspend(6s);
@@ -230,7 +233,7 @@
   CHECK_FALSE(fleet.violation().empty());
 }
 
-TEST_CASE("the tests see a holder that outlives its lease") {
+TEST_CASE("the checker detects a holder that uses its fence after the lease expired") {
   Fleet fleet(3, {.safety_margin = -10s});
   fleet.advance(5s);
   fleet.nodes[0]->store.cut = true;
@@ -239,13 +242,13 @@
 }
 
 TEST_CASE(
-    "while the store is out nobody uses for longer than the lease, and the holder goes on after") {
+    "a store outage suspends the holder after its lease; it continues once the store is back") {
   Fleet fleet(3);
   fleet.advance(5s);
   fleet.state.down = true;
   fleet.advance(kLease);
   CHECK_FALSE(fleet.holder());
-  // Leases wait in the meantime, as the store may have it.
+  // The store may extend its leases during the outage.
   for (auto& [id, lease] : fleet.state.leases) {
     lease.ends += 60s;
   }
@@ -256,7 +259,7 @@
   CHECK(fleet.violation().empty());
 }
 
-TEST_CASE("a holder that the store turns away is followed by another") {
+TEST_CASE("another node takes over when the store refuses the calls of the holder") {
   Fleet fleet(3);
   fleet.advance(5s);
   fleet.nodes[0]->store.turned_away = true;
@@ -268,7 +271,7 @@
   CHECK(fleet.violation().empty());
 }
 
-TEST_CASE("a claim whose answer was lost is found again, and not made twice") {
+TEST_CASE("a committed claim whose answer was lost is detected and not repeated") {
   Fleet fleet(1);
   fleet.nodes[0]->store.answers_lost = true;
   fleet.advance(10s);
@@ -279,7 +282,7 @@
   CHECK(fleet.violation().empty());
 }
 
-TEST_CASE("a node that held before its successor waits for a lease before it uses again") {
+TEST_CASE("a node that held the duties before the previous holder waits for a full lease") {
   Fleet fleet(2);
   fleet.advance(5s);
   fleet.kill(0);
@@ -295,7 +298,7 @@
   CHECK(fleet.violation().empty());
 }
 
-TEST_CASE("an unfit holder gives the lease back after a while") {
+TEST_CASE("a holder that stays ineligible releases the lease after the grace period") {
   simulation::VirtualTime time;
   StoreState state(time);
   MemoryStore store(time, state, time);
@@ -320,13 +323,14 @@
   CHECK_FALSE(state.items.contains("h"));
 }
 
-TEST_CASE("a holder that the store has forgotten is followed under a higher fence, not by turns") {
+TEST_CASE("after a rollback that drops the holder, another node takes over under a higher fence") {
   Fleet fleet(3);
   const StoreState::Copy before = fleet.state.copy();
   fleet.advance(5s);
   REQUIRE(fleet.holder() == 0);
   const Fence last = *fleet.nodes[0]->lease.fence();
-  // The holder is cut off as the store comes back without its lease: another is free to claim.
+  // The holder is partitioned while the store is restored without its lease, so another node is
+  // free to claim.
   fleet.nodes[0]->store.cut = true;
   fleet.roll_back_to(before);
   fleet.advance(20s);
@@ -335,7 +339,7 @@
   CHECK(fleet.violation().empty());
 }
 
-TEST_CASE("fences rise on when all nodes start anew after the store has come back older") {
+TEST_CASE("fences keep increasing when all nodes restart after the store was rolled back") {
   Fleet fleet(2);
   fleet.advance(5s);
   const StoreState::Copy copy = fleet.state.copy();
@@ -357,57 +361,60 @@
   CHECK(fleet.violation().empty());
 }
 
-TEST_CASE("whatever happens, holders follow each other with rising fences and never by turns") {
-  CHECK(rc::check("kills, freezes, cuts, restarts, lost and late answers, a store set back", [] {
-    constexpr std::size_t kNodes = 6;
-    Fleet fleet(kNodes);
-    StoreState::Copy copy = fleet.state.copy();
-    for (int step = 0; step != 30; ++step) {
-      // The holder is struck more often than the others.
-      const std::size_t any = *rc::gen::inRange<std::size_t>(0, kNodes);
-      fleet.restart(any);
-      const std::size_t machine = *rc::gen::inRange(0, 2) == 0 ? fleet.holder().value_or(any) : any;
-      Candidate& node = *fleet.nodes[fleet.alive[machine] ? machine : any];
-      switch (*rc::gen::inRange(0, 10)) {
-        case 0:
-          if (fleet.alive[machine]) {
-            fleet.kill(machine);
-          }
-          break;
-        case 1:
-          for (std::size_t i = 0; i != kNodes; ++i) {
-            fleet.restart(i);
-          }
-          break;
-        case 2:
-          if (fleet.alive[machine]) {
-            node.machine.suspend(*rc::gen::inRange(1, 9) * 1s);
+TEST_CASE("under random faults, fences increase and holders never alternate within a lease") {
+  CHECK(rc::check(
+      "kills, suspensions, partitions, restarts, lost and late answers, store rollbacks", [] {
+        constexpr std::size_t kNodes = 6;
+        Fleet fleet(kNodes);
+        StoreState::Copy copy = fleet.state.copy();
+        for (int step = 0; step != 30; ++step) {
+          // Faults hit the holder more often than other nodes.
+          const std::size_t any = *rc::gen::inRange<std::size_t>(0, kNodes);
+          fleet.restart(any);
+          const std::size_t machine =
+              *rc::gen::inRange(0, 2) == 0 ? fleet.holder().value_or(any) : any;
+          Candidate& node = *fleet.nodes[fleet.alive[machine] ? machine : any];
+          switch (*rc::gen::inRange(0, 10)) {
+            case 0:
+              if (fleet.alive[machine]) {
+                fleet.kill(machine);
+              }
+              break;
+            case 1:
+              for (std::size_t i = 0; i != kNodes; ++i) {
+                fleet.restart(i);
+              }
+              break;
+            case 2:
+              if (fleet.alive[machine]) {
+                node.machine.suspend(*rc::gen::inRange(1, 9) * 1s);
+              }
+              break;
+            case 3:
+              node.store.cut = !node.store.cut;
+              break;
+            case 4:
+              node.store.turned_away = !node.store.turned_away;
+              break;
+            case 5:
+              node.store.answers_lost = !node.store.answers_lost;
+              break;
+            case 6:
+              node.store.done_late =
+                  node.store.done_late == Duration::zero() ? 4s : Duration::zero();
+              break;
+            case 7:
+              fleet.state.down = !fleet.state.down;
+              break;
+            case 8:
+              copy = fleet.state.copy();
+              break;
+            default:
+              fleet.roll_back_to(copy);
+              break;
           }
-          break;
-        case 3:
-          node.store.cut = !node.store.cut;
-          break;
-        case 4:
-          node.store.turned_away = !node.store.turned_away;
-          break;
-        case 5:
-          node.store.answers_lost = !node.store.answers_lost;
-          break;
-        case 6:
-          node.store.done_late = node.store.done_late == Duration::zero() ? 4s : Duration::zero();
-          break;
-        case 7:
-          fleet.state.down = !fleet.state.down;
-          break;
-        case 8:
-          copy = fleet.state.copy();
-          break;
-        default:
-          fleet.roll_back_to(copy);
-          break;
-      }
-      fleet.advance(*rc::gen::inRange(1, 40) * 100ms);
-      RC_ASSERT(fleet.violation() == "");
-    }
-  }));
+          fleet.advance(*rc::gen::inRange(1, 40) * 100ms);
+          RC_ASSERT(fleet.violation() == "");
+        }
+      }));
 }
--- a/src/duties/types.h
+++ b/src/duties/types.h
@@ -1,4 +1,4 @@
-// The holder of the duties that only one node may have at a time.
+// Types that describe the current holder of the fleet-wide duties.
 #pragma once
 
 #include <cstdint>
@@ -10,13 +10,13 @@
 
 namespace ochrespring::duties {
 
-/// Rises whenever the holder changes; no two holders ever share one.
+/// Fencing token: increases whenever the holder changes. No two holders share one.
 using Fence = StrongNumber<struct FenceTag>;
 
-/// What the store says of the holder, under the holder's lease.
+/// Store entry that names the current holder. It is bound to the holder's lease.
 struct HolderRecord {
   NodeId node;
-  std::uint64_t incarnation = 0;  ///< Drawn at the node's start.
+  std::uint64_t incarnation = 0;  ///< Random number drawn when the node starts.
   shared_store::LeaseId lease;
 
   template <class Archive>
@@ -27,10 +27,10 @@
   }
 };
 
-/// The last two nodes that held the duties; outlasts their leases.
+/// The last two nodes that held the duties. The entry is not bound to a lease.
 struct HolderHistory {
   NodeId last;
-  NodeId previous;  ///< Another node than `last`; empty if there was none.
+  NodeId previous;  ///< The holder before `last`; always a different node. Empty if there was none.
 
   template <class Archive>
   void serialize(Archive& archive, unsigned /*version*/) {
@@ -39,10 +39,10 @@
   }
 };
 
-/// What is added to the store's revision to make a fence, so that fences rise on when the store has
-/// come back from an older copy and its revisions are lower.
+/// Added to a store revision to obtain a fence. It keeps fences increasing after the store is
+/// restored from an older copy, which lowers its revisions.
 struct FenceOffset {
-  shared_store::StoreEra era;  ///< The life of the store that it is meant for.
+  shared_store::StoreEra era;  ///< Store era that the offset applies to.
   std::uint64_t offset = 0;
 
   bool operator==(const FenceOffset&) const = default;
@@ -54,8 +54,9 @@
   }
 };
 
-/// As it has to be in `era`, after `last`: what a later life begins with is above all that any
-/// earlier one can have given out. None before the first holder of all.
+/// Returns the offset to use in `era`, given the last stored one. The offset of a later era is
+/// above every fence that an earlier era can have issued. `last` is empty before the first holder
+/// of all.
 FenceOffset compute_fence_offset(shared_store::StoreEra era,
                                  const std::optional<FenceOffset>& last);
 
--- a/src/fleet_control/server_controller.cc
+++ b/src/fleet_control/server_controller.cc
@@ -64,7 +64,7 @@
   world_.store.list(options_.key_prefix, [this, fence](auto result) {
     store_call_pending_ = false;
     if (!result) {
-      log_store_failure("needs not read", result.error().message);
+      log_store_failure("stored server needs could not be read", result.error().message);
     }
     if (!result || world_.lease.fence() != fence) {
       reset_pending_ = true;
@@ -75,7 +75,7 @@
       std::uint32_t needed = 0;
       const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), needed);
       if (error != std::errc()) {
-        log_store_failure("need not understood", item.key);
+        log_store_failure("stored server need cannot be decoded", item.key);
         continue;
       }
       needed_[ServiceName(item.key.substr(options_.key_prefix.size()))] = needed;
@@ -98,8 +98,8 @@
       [this, service, seen](auto result) {
         store_call_pending_ = false;
         if (!result) {
-          // Whatever became of it, the next look writes it again.
-          log_store_failure("need not written down", result.error().message);
+          // Whether or not the commit succeeded, the next step writes it again.
+          log_store_failure("server need could not be stored", result.error().message);
           return;
         }
         needed_[service] = seen;
@@ -110,7 +110,7 @@
 
 ServersByZone ServerController::count_servers(const gateway::Service& service) const {
   ServersByZone servers;
-  // A zone that has lost all its servers still is one.
+  // A zone without servers still counts as a zone.
   for (const auto& [zone, price] : service.market->zone_prices) {
     servers[zone] = {};
   }
@@ -133,11 +133,11 @@
   const std::uint32_t needed = needed_.at(service.name);
   update_supply(service.name, present);
   for (const auto& [zone, wanted] : plan_servers(*service.market, needed, present, options_.plan)) {
-    const ZoneServers& there = present.at(zone);
-    order(fence, {service.name, zone, true}, wanted.preemptible, there.preemptible,
+    const ZoneServers& current = present.at(zone);
+    order(fence, {service.name, zone, true}, wanted.preemptible, current.preemptible,
           service.market->boot);
     order(fence, {service.name, zone, false},
-          regular_target(service.name, wanted.regular, there.regular), there.regular,
+          regular_target(service.name, wanted.regular, current.regular), current.regular,
           service.market->boot);
   }
 }
@@ -148,7 +148,7 @@
   const auto [entry, first] = supplies_.try_emplace(service);
   Supply& supply = entry->second;
   if (first && total_regular(present) < needed) {
-    // Not the servers that the operators began with: an earlier holder may have ordered them.
+    // These are not the initial servers of the operators: an earlier holder may have ordered them.
     supply.regular_required_at = now;
   }
   const std::uint32_t missing = needed - std::min(needed, total_servers(present));
@@ -210,9 +210,9 @@
   last.failed = true;
   const bool refused = result.error().code == DutyErrc::kRefused;
   ++(refused ? statistics_.refused : statistics_.failed);
-  log("order of servers failed", pool, last.desired, 0, result.error().message);
-  // Of servers that may be taken away there may be none; regular ones are refused for the fence
-  // alone.
+  log("server order failed", pool, last.desired, 0, result.error().message);
+  // Preemptible servers may be unavailable; orders for regular servers are refused only because of
+  // the fence.
   if (refused && !pool.preemptible) {
     world_.lease.relinquish();
   }
--- a/src/fleet_control/server_controller.h
+++ b/src/fleet_control/server_controller.h
@@ -19,45 +19,45 @@
 namespace ochrespring::fleet_control {
 
 struct ServerControllerOptions {
-  std::string key_prefix;  ///< Of the store; a service's name follows.
+  std::string key_prefix;  ///< Prefix of the store keys; the service name follows.
   ServerPlanOptions plan{};
-  Duration period{std::chrono::milliseconds(500)};  ///< Between two looks at the fleet.
-  /// A pool that still differs this long after its order and its servers' boot is ordered again:
-  /// the order, or an older one carried out late, may have gone wrong.
+  Duration period{std::chrono::milliseconds(500)};  ///< Interval between checks of the fleet.
+  /// A pool that still differs this long after its order plus the boot time is ordered again: the
+  /// order may have been lost, or a delayed older order may have overridden it.
   Duration reorder_delay{std::chrono::seconds(3)};
-  /// After an order that failed, or was refused because none can be had: when some can is not told.
+  /// Delay after an order that failed or was refused for lack of servers. The provider does not
+  /// announce when servers become available.
   Duration retry_delay{std::chrono::seconds(1)};
-  /// Regular servers are ordered only for what lacks this long: crashed servers and those of a lost
-  /// zone mostly come back sooner, and each server that is given up again drains.
+  /// How long a shortage must last before regular servers are ordered. Crashed servers and those of
+  /// a lost zone mostly return sooner, and each server released again must drain.
   Duration shortage_grace_period{std::chrono::seconds(10)};
-  /// Part of the servers needed that may lack meanwhile.
+  /// Fraction of the needed servers that may be missing without counting as a shortage.
   double tolerated_shortage_ratio = 0.2;
-  /// After servers lacked, regular ones are given up only once none has for this long. Guards the
-  /// bound of drains: ordered at once and without this, 72 servers were given up at the same moment
-  /// 7.5 s after their order, and a node that was cut off sent ten requests to such servers beyond
-  /// the bound (one day of eight, played once).
+  /// How long there must be no shortage before regular servers are released. Without this delay and
+  /// the grace period, 72 servers were released at the same moment 7.5 s after their order, and a
+  /// node cut off from the fleet sent ten requests to them after the drain limit.
   Duration release_delay{std::chrono::seconds(30)};
-  /// Regular servers are given up once the service's need has not risen for this long: when all
-  /// start at once, servers register over some seconds.
+  /// How long the need of a service must not have risen before regular servers are released. When
+  /// all servers start at once, they register over some seconds.
   Duration need_settling_time{std::chrono::seconds(3)};
 };
 
 struct ServerControllerStatistics {
   std::uint64_t orders = 0;
-  std::uint64_t failed = 0;   ///< Without effect, or with an unknown one.
-  std::uint64_t refused = 0;  ///< None to be had.
+  std::uint64_t failed = 0;   ///< Orders without effect or with an unknown effect.
+  std::uint64_t refused = 0;  ///< Refused orders: no servers available, or a higher fence was seen.
 };
 
-/// Brings each service whose servers can be ordered to what plan_servers() says. The most servers
-/// that were ever seen to be regular is what a service needs: the operators' own sizing, kept in
-/// the store for whoever holds the duties next. One loop.
+/// Adjusts each service whose servers can be ordered to the result of plan_servers(). The need of a
+/// service is the largest number of regular servers ever seen, which reflects the operators' own
+/// sizing. It is kept in the store for the next holder. Runs on one loop.
 ///
-/// Saves 0.09 to 0.11 of a day's credit: 140 regular servers cost 0.157 to 0.174 of it, 210 that
-/// may be taken away 0.06 to 0.07 with those they replace (seven days, each played before and
-/// after).
+/// Saves 0.09 to 0.11 of a day's credit: 140 regular servers cost 0.157 to 0.174 of it, while 210
+/// preemptible ones together with the regular ones they replace cost 0.06 to 0.07 (seven days, each
+/// run with and without).
 class ServerController {
  public:
-  /// References outlive the controller.
+  /// The referenced objects must outlive the controller.
   struct World {
     const Clock& clock;
     TimerService& timers;
@@ -71,14 +71,14 @@
   ServerController(World world, ServerControllerOptions options);
 
   void start();
-  /// This node has begun to hold the duties: nothing of an earlier time counts.
+  /// This node has acquired the duties: state from an earlier tenure is discarded.
   void on_gained() { reset_pending_ = true; }
   const ServerControllerStatistics& statistics() const { return statistics_; }
-  /// Servers that each service needs, as far as known.
+  /// Known number of servers that each service needs.
   const std::map<ServiceName, std::uint32_t>& needed() const { return needed_; }
 
  private:
-  /// What was last ordered of a pool.
+  /// Last order for a pool.
   struct Order {
     std::uint32_t desired = 0;
     MonotonicTime at{};
@@ -88,15 +88,16 @@
 
   void step();
   void read_stored_needs(duties::Fence fence);
-  /// Returns whether what the service needs is known and written down.
+  /// Records the regular servers seen as the need of the service if it is higher than before.
+  /// Returns whether the need is known and stored.
   bool ensure_need_stored(const ServiceName& service, const ServersByZone& present);
   ServersByZone count_servers(const gateway::Service& service) const;
   void adjust_service(duties::Fence fence, const gateway::Service& service);
-  /// How many regular servers a zone is to have now: not more for what lacks for a short time only,
-  /// not fewer before the need is sure.
+  /// Number of regular servers a zone should have now: no increase for a short shortage, and no
+  /// decrease before supply and need are stable.
   std::uint32_t regular_target(const ServiceName& service, std::uint32_t wanted,
                                std::uint32_t present) const;
-  /// Notes whether servers lack.
+  /// Updates whether the service is short of servers.
   void update_supply(const ServiceName& service, const ServersByZone& present);
   void order(duties::Fence fence, const ServerPool& pool, std::uint32_t desired,
              std::uint32_t present, Duration boot);
@@ -109,13 +110,14 @@
   ServerControllerOptions options_;
   Timer timer_;
   bool reset_pending_ = true;
-  bool store_call_pending_ = false;  ///< The store, for what is needed.
+  bool store_call_pending_ = false;  ///< A store call about needs is pending.
   std::map<ServiceName, std::uint32_t> needed_;
   std::map<ServiceName, MonotonicTime> need_raised_at_;
-  /// What this holder has seen of a service's servers.
+  /// Supply of a service as observed by this holder.
   struct Supply {
-    std::optional<MonotonicTime> shortage_since;  ///< Since when too many lack; none: they do not.
-    /// When regular servers last had to stand in, or may have: then they are not given up soon.
+    /// Start of the current shortage; empty if there is none.
+    std::optional<MonotonicTime> shortage_since;
+    /// When regular servers were last required, or may have been; they are not released soon after.
     std::optional<MonotonicTime> regular_required_at;
   };
   std::map<ServiceName, Supply> supplies_;
--- a/src/fleet_control/server_plan.cc
+++ b/src/fleet_control/server_plan.cc
@@ -11,7 +11,7 @@
   return static_cast<std::uint32_t>(std::ceil(servers));
 }
 
-/// Preemptible servers of each zone, so that those of all but one have the head room.
+/// Preemptible servers per zone, such that the headroom remains when any one zone is lost.
 std::uint32_t preemptible_per_zone(std::uint32_t needed, std::size_t zones,
                                    const ServerPlanOptions& options) {
   return round_up(needed * options.headroom / static_cast<double>(zones - 1));
@@ -44,7 +44,7 @@
   if (!preemptible_is_cheaper(market, zones, options)) {
     return present;
   }
-  // What the preemptible servers do not make up for, spread over the zones.
+  // Shortfall of the preemptible servers, spread over the zones.
   const std::uint32_t missing = needed - std::min(needed, total_preemptible(present));
   const std::uint32_t min_regular =
       std::max(round_up(options.min_regular_ratio * share),
@@ -52,7 +52,7 @@
   for (const auto& [zone, servers] : present) {
     ZoneServers& wanted = plan[zone];
     wanted.regular = std::min(min_regular, market.most);
-    // Regular servers that are given up make room only once they have gone.
+    // Released regular servers occupy capacity until they are gone.
     const std::uint32_t taken = std::max(wanted.regular, servers.regular);
     wanted.preemptible = std::min(preemptible_per_zone(needed, zones, options),
                                   market.most - std::min(market.most, taken));
--- a/src/fleet_control/server_provider.h
+++ b/src/fleet_control/server_provider.h
@@ -1,4 +1,4 @@
-// Who provides servers, by order.
+// Interface for ordering servers from the platform.
 #pragma once
 
 #include <compare>
@@ -10,7 +10,7 @@
 
 namespace ochrespring::fleet_control {
 
-/// One kind of servers of a service in a zone: what an order sets the number of.
+/// Servers of one kind in one service and zone; an order sets their number.
 struct ServerPool {
   ServiceName service;
   ZoneName zone;
@@ -22,8 +22,8 @@
 class ServerProvider {
  public:
   virtual ~ServerProvider() = default;
-  /// How many servers the pool is to have. kRefused: none can be had now, or a higher fence was
-  /// seen.
+  /// Sets the desired number of servers in the pool. Fails with kRefused if none are available now,
+  /// or if a higher fence was seen.
   virtual void order_servers(duties::Fence fence, const ServerPool& pool, std::uint32_t desired,
                              duties::DutyCallback done) = 0;
 };
--- a/src/fleet_control/tests/server_controller_test.cc
+++ b/src/fleet_control/tests/server_controller_test.cc
@@ -1,4 +1,4 @@
-// Servers are ordered by one node, and follow what has become of earlier orders.
+// Tests that the holder orders servers and reacts to the results of earlier orders.
 #include "fleet_control/server_controller.h"
 
 #include <doctest/doctest.h>
@@ -21,7 +21,7 @@
 const ServiceName kService("llm");
 const ZoneName kZones[] = {ZoneName("a"), ZoneName("b"), ZoneName("c")};
 
-/// Gives what is ordered after a boot, and takes away at once.
+/// Adds ordered servers after a boot time and removes released ones immediately.
 class FakeProvider final : public ServerProvider {
  public:
   FakeProvider(simulation::VirtualTime& time, gateway::FleetState& fleet)
@@ -53,7 +53,7 @@
       });
     }
   }
-  /// Servers that are there from the start.
+  /// Sets the servers present from the start.
   void put(const ServerPool& pool, std::uint32_t count) {
     ordered[pool] = count;
     for (std::uint32_t number = 1; number <= count; ++number) {
@@ -142,7 +142,7 @@
 
 }  // namespace
 
-TEST_CASE("cheap servers take the place of the others, with spares for a zone") {
+TEST_CASE("preemptible servers replace regular ones, with spares for one zone") {
   ControllerFixture fixture;
   fixture.put_regular(8);
   fixture.advance(30s);
@@ -154,7 +154,7 @@
   CHECK(fixture.provider.orders == orders);
 }
 
-TEST_CASE("servers that register one after the other are all counted before any is given up") {
+TEST_CASE("servers that register one by one are all counted before any is released") {
   ControllerFixture fixture;
   for (std::uint32_t each = 1; each <= 8; ++each) {
     fixture.put_regular(each);
@@ -166,7 +166,7 @@
   CHECK(fixture.provider.count(true) == 36);
 }
 
-TEST_CASE("a zone that lost its cheap servers gets them back, and no dear ones meanwhile") {
+TEST_CASE("a zone that lost its preemptible servers is refilled without regular ones") {
   ControllerFixture fixture;
   fixture.put_regular(8);
   fixture.advance(30s);
@@ -183,20 +183,20 @@
   CHECK(fixture.lease.fence());
 }
 
-TEST_CASE("servers that could not be had are asked for every second") {
+TEST_CASE("unavailable servers are ordered again every second") {
   ControllerFixture fixture;
   fixture.put_regular(8);
   fixture.provider.exhausted = true;
   fixture.advance(5s);
   const std::uint64_t before = fixture.provider.orders;
   fixture.advance(10s);
-  // Of three zones.
+  // Three zones, one order per second each.
   CHECK(fixture.provider.orders >= before + 27);
   CHECK(fixture.provider.orders <= before + 33);
   CHECK(fixture.controller.statistics().refused == fixture.provider.orders);
 }
 
-TEST_CASE("where no cheap servers are to be had for long, dear ones fill the gap") {
+TEST_CASE("regular servers cover a lasting shortage of preemptible ones") {
   ControllerFixture fixture;
   fixture.put_regular(8);
   fixture.advance(30s);
@@ -211,7 +211,7 @@
   CHECK(fixture.provider.count(false) == 0);
   fixture.advance(2s);
   CHECK(fixture.provider.count(false) == 12);
-  // They stay for a while once cheap ones are back: what is given up drains.
+  // They stay for the release delay after preemptible ones are back, since released servers drain.
   fixture.provider.exhausted = false;
   fixture.advance(25s);
   CHECK(fixture.provider.count(true) >= 24);
@@ -220,7 +220,7 @@
   CHECK(fixture.provider.count(false) == 0);
 }
 
-TEST_CASE("a new holder gives nothing up of what lacked a moment ago") {
+TEST_CASE("a new holder does not release servers that were missing a moment ago") {
   ControllerFixture fixture;
   fixture.put_regular(8);
   fixture.advance(30s);
@@ -232,11 +232,11 @@
   CHECK(fixture.provider.count(false) == 0);
 }
 
-TEST_CASE("crashed servers that come back soon are not made up for") {
+TEST_CASE("crashed servers that return soon are not replaced by regular ones") {
   ControllerFixture fixture;
   fixture.put_regular(8);
   fixture.advance(30s);
-  // A quarter of all, two thirds of them in one zone.
+  // 20 of 36 servers: all of one zone and two thirds of another.
   for (std::uint32_t number = 1; number <= 12; ++number) {
     fixture.fleet.remove(gateway::BackendId("cp" + std::to_string(number)));
   }
@@ -251,7 +251,7 @@
   }
 }
 
-TEST_CASE("an order that had no effect is given again") {
+TEST_CASE("an order without effect is repeated") {
   ControllerFixture fixture;
   fixture.put_regular(8);
   fixture.provider.loses_orders = true;
--- a/src/fleet_control/tests/server_plan_test.cc
+++ b/src/fleet_control/tests/server_plan_test.cc
@@ -1,4 +1,4 @@
-// How many servers of each kind.
+// Tests the number of servers of each kind.
 #include "fleet_control/server_plan.h"
 
 #include <doctest/doctest.h>
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-TEST_CASE("preemptible servers pay if they do with spares for a zone") {
+TEST_CASE("preemptible servers are used if they are cheaper including spares for one zone") {
   CHECK(preemptible_is_cheaper(make_market(0.18), 3, {}));
   CHECK_FALSE(preemptible_is_cheaper(make_market(0.7), 3, {}));
   CHECK_FALSE(preemptible_is_cheaper(make_market(0.18), 1, {}));
@@ -31,36 +31,36 @@
   CHECK_FALSE(preemptible_is_cheaper(make_market(0.5), 3, {.headroom = 1.5}));
 }
 
-TEST_CASE("regular servers stay until preemptible ones take requests, and make room then") {
+TEST_CASE("regular servers are released once preemptible ones accept requests") {
   const ServersByZone before{{kA, {47, 0}}, {kB, {47, 0}}, {kC, {46, 0}}};
   const ServersByZone ordered = plan_servers(make_market(0.18), 140, before, {});
   CHECK(ordered.at(kA) == ZoneServers{47, 47});
   CHECK(ordered.at(kC) == ZoneServers{47, 47});
   const ServersByZone both{{kA, {47, 47}}, {kB, {47, 47}}, {kC, {46, 47}}};
   CHECK(plan_servers(make_market(0.18), 140, both, {}).at(kA) == ZoneServers{0, 47});
-  const ServersByZone given_up{{kA, {0, 47}}, {kB, {0, 47}}, {kC, {0, 47}}};
-  CHECK(plan_servers(make_market(0.18), 140, given_up, {}).at(kA) == ZoneServers{0, 70});
+  const ServersByZone released{{kA, {0, 47}}, {kB, {0, 47}}, {kC, {0, 47}}};
+  CHECK(plan_servers(make_market(0.18), 140, released, {}).at(kA) == ZoneServers{0, 70});
 }
 
-TEST_CASE("the loss of a zone's preemptible servers is borne by the spares of the others") {
+TEST_CASE("spares in the other zones cover the loss of one zone's preemptible servers") {
   const ServersByZone lost{{kA, {0, 70}}, {kB, {0, 70}}, {kC, {0, 0}}};
   const ServersByZone plan = plan_servers(make_market(0.18), 140, lost, {});
   CHECK(plan.at(kC) == ZoneServers{0, 70});
   CHECK(plan.at(kA) == ZoneServers{0, 70});
 }
 
-TEST_CASE("what both kinds lack is made up for by regular servers") {
+TEST_CASE("regular servers cover what both kinds together lack") {
   const ServersByZone lost{{kA, {0, 70}}, {kB, {0, 0}}, {kC, {0, 0}}};
   CHECK(plan_servers(make_market(0.18), 140, lost, {}).at(kB).regular == 24);
 }
 
-TEST_CASE("a service whose preemptible servers do not pay is left as it is") {
-  const ServersByZone there{{kA, {5, 0}}, {kB, {7, 0}}};
-  CHECK(plan_servers(make_market(0.9), 12, there, {}) == there);
+TEST_CASE("the plan is unchanged where preemptible servers are not cheaper") {
+  const ServersByZone present{{kA, {5, 0}}, {kB, {7, 0}}};
+  CHECK(plan_servers(make_market(0.9), 12, present, {}) == present);
 }
 
-TEST_CASE("no plan breaks the bounds of a zone") {
-  CHECK(rc::check("both kinds together stay between the least and the most", [] {
+TEST_CASE("every plan stays within the bounds of each zone") {
+  CHECK(rc::check("both kinds together stay between the minimum and the maximum", [] {
     gateway::ServerMarket market = make_market(*rc::gen::inRange(1, 30) / 100.0);
     market.most = *rc::gen::inRange(1U, 100U);
     market.least = *rc::gen::inRange(0U, market.most + 1);
--- a/src/gateway_node/tests/peer_channel_test.cc
+++ b/src/gateway_node/tests/peer_channel_test.cc
@@ -222,7 +222,7 @@
   for (const std::uint32_t from_nodes : {2U, 100U}) {
     ChannelFleet fleet(from_nodes);
     for (const auto& node : fleet.nodes) {
-      node->channel.tell_usage({.node = node->record.node, .life = 1, .windows = {}});
+      node->channel.tell_usage({.node = node->record.node, .incarnation = 1, .windows = {}});
     }
     fleet.deliver();
     int first = 0;
--- a/src/usage/tests/usage_reporter_test.cc
+++ b/src/usage/tests/usage_reporter_test.cc
@@ -1,4 +1,4 @@
-// Each window is reported once, whoever holds the duties and whatever answers are lost.
+// Tests that each window is reported once, across holder changes and lost answers.
 #include "usage/usage_reporter.h"
 
 #include <doctest/doctest.h>
@@ -23,7 +23,7 @@
 constexpr WindowLength kWindows{5s};
 const TenantName kTenant("t");
 
-/// Takes reports as the platform does, and sees what is wrong with them.
+/// Accepts reports like the platform, and detects conflicting ones.
 class FakeSink final : public UsageSink {
  public:
   explicit FakeSink(simulation::VirtualTime& time) : time_(time) {}
@@ -96,7 +96,7 @@
   UsageReporter reporter;
 };
 
-/// Two nodes that may report, and one that counts a run every 10 ms.
+/// Two nodes that may report, and one counter that adds a run every 10 ms.
 class ReporterFixture {
  public:
   ReporterFixture() {
@@ -155,7 +155,7 @@
 
 }  // namespace
 
-TEST_CASE("each window is reported once, whole and in time") {
+TEST_CASE("each window is reported once, completely and before its deadline") {
   ReporterFixture fixture;
   fixture.advance(62s);
   REQUIRE(fixture.sink.reported.size() >= 11);
@@ -168,7 +168,7 @@
   }
 }
 
-TEST_CASE("a report without an answer is repeated as it was") {
+TEST_CASE("a report without an answer is retried unchanged") {
   ReporterFixture fixture;
   fixture.sink.answers_lost = true;
   fixture.advance(9s);
@@ -178,12 +178,12 @@
   CHECK(fixture.sink.reported.size() >= 4);
 }
 
-TEST_CASE("a successor tells what its predecessor wrote down, though it has counted otherwise") {
+TEST_CASE("a successor reports the sum stored by its predecessor, even if its own count differs") {
   ReporterFixture fixture;
   fixture.sink.down = true;
   fixture.advance(6500ms);
   REQUIRE(fixture.state.items.contains("usage/0"));
-  // More comes in late: it must not change what was written down.
+  // Late counts must not change the stored sum.
   fixture.nodes[1]->tally.add({NodeId("late"), 1, {{WindowNumber(0), {{kTenant, 77}}}}});
   fixture.kill(0);
   fixture.advance(5s);
@@ -193,7 +193,7 @@
   CHECK(fixture.sink.reported.at(WindowNumber(0)).at(kTenant) == 500);
 }
 
-TEST_CASE("what the platform would not take in time is dropped, and reported in the metrics") {
+TEST_CASE("windows not accepted before their deadline are dropped and counted as missed") {
   ReporterFixture fixture;
   fixture.sink.down = true;
   fixture.advance(30s);
@@ -204,8 +204,8 @@
   CHECK(fixture.state.items.size() < 14);
 }
 
-TEST_CASE("never two reports of a window that differ, whatever fails") {
-  CHECK(rc::check("kills, restarts, an outage of the store, lost answers on both sides", [] {
+TEST_CASE("under random faults, no two reports of a window conflict") {
+  CHECK(rc::check("kills, restarts, store outages, lost answers on both sides", [] {
     ReporterFixture fixture;
     for (int step = 0; step != 25; ++step) {
       const std::size_t node = *rc::gen::inRange<std::size_t>(0, 2);
@@ -239,10 +239,9 @@
   }));
 }
 
-// A window was reported twice with other counts, in a fleet whose store had been set back: what had
-// been written down before it was reported was lost, and the next holder wrote what it had heard
-// itself.
-TEST_CASE("what was reported stays as it was when the store comes back without it") {
+// A store rollback removes the stored sum of a window that was already reported. The next holder
+// would then store its own, different sum and report the window twice with different counts.
+TEST_CASE("a reported sum stays the same after a store rollback that removes it") {
   ReporterFixture fixture;
   fixture.advance(9s);
   const StoreState::Copy copy = fixture.state.copy();
@@ -251,7 +250,7 @@
     fixture.advance(50ms);
   }
   const WindowNumber last = fixture.sink.reported.rbegin()->first;
-  // Another node heard of more runs of that window.
+  // Another node has received more runs for that window.
   fixture.nodes[1]->tally.add({NodeId("late"), 9, {{last, {{kTenant, 5}}}}});
   fixture.state.set_back_to(copy);
   for (const auto& node : fixture.nodes) {
--- a/src/usage/tests/usage_tally_test.cc
+++ b/src/usage/tests/usage_tally_test.cc
@@ -1,4 +1,4 @@
-// Counts that can be added up again, however reports come.
+// Tests that counts are summed correctly whatever the order and loss of reports.
 #include "usage/usage_tally.h"
 
 #include <doctest/doctest.h>
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-TEST_CASE("a run counts in the window in which it began, by true time") {
+TEST_CASE("a run is counted in the window in which it began") {
   simulation::VirtualTime time;
   const WallClockEstimate wall(time, time);
   UsageTally tally;
@@ -37,7 +37,7 @@
   CHECK(tally.sum(WindowNumber(1)) == TenantCounts{{kTenant, 1}});
 }
 
-TEST_CASE("windows are told until they are over for good, and an idle node tells nothing") {
+TEST_CASE("windows are reported until their retention ends, and an idle node sends nothing") {
   simulation::VirtualTime time;
   const WallClockEstimate wall(time, time);
   std::size_t reports = 0;
@@ -56,14 +56,14 @@
   CHECK(last < MonotonicTime(18s));
 }
 
-TEST_CASE("sums are right whatever reports are lost, doubled, late or out of order") {
-  CHECK(rc::check("all that is told at least once counts once", [] {
+TEST_CASE("sums are correct with lost, duplicated, late and reordered reports") {
+  CHECK(rc::check("everything reported at least once is counted once", [] {
     UsageTally tally;
     TenantCounts truth;
     std::vector<UsageReport> sent;
     const int incarnations = *rc::gen::inRange(1, 6);
     for (int incarnation = 0; incarnation != incarnations; ++incarnation) {
-      // Two incarnations of one node are two counters.
+      // Two incarnations of one node have separate counters.
       UsageReport report{NodeId("n" + std::to_string(incarnation / 2)),
                          static_cast<std::uint64_t>(incarnation),
                          {{WindowNumber(7), {}}}};
--- a/src/usage/tests/wall_clock_estimate_test.cc
+++ b/src/usage/tests/wall_clock_estimate_test.cc
@@ -1,4 +1,4 @@
-// True time while the time of day jumps.
+// Tests the estimate while the wall clock jumps.
 #include "usage/wall_clock_estimate.h"
 
 #include <doctest/doctest.h>
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// A machine whose time of day can be set.
+/// Clock whose wall time can be offset.
 class SettableClock final : public Clock {
  public:
   explicit SettableClock(const simulation::VirtualTime& time) : time_(time) {}
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-TEST_CASE("the estimate is the wall clock's until that jumps, and follows only what lasts") {
+TEST_CASE("the estimate equals the wall clock, ignores temporary jumps and follows lasting ones") {
   simulation::VirtualTime time;
   SettableClock clock(time);
   const WallClockEstimate wall(clock, time);
--- a/src/usage/types.h
+++ b/src/usage/types.h
@@ -1,4 +1,4 @@
-// Usage: how many requests of each tenant began to run in each window of true time.
+// Usage: the number of requests per tenant that began to run in each time window.
 #pragma once
 
 #include <cstdint>
@@ -11,13 +11,13 @@
 
 namespace ochrespring::usage {
 
-/// Window k begins k times its length after the start of 1970.
+/// Window k begins k window lengths after the Unix epoch.
 using WindowNumber = StrongNumber<struct UsageWindowTag>;
 
-/// Requests that began to run, by tenant.
+/// Number of requests that began to run, by tenant.
 using TenantCounts = std::map<TenantName, std::uint32_t>;
 
-/// The windows of one length.
+/// Maps times to windows of a fixed length.
 struct WindowLength {
   Duration length{};
 
@@ -29,7 +29,7 @@
   }
 };
 
-/// Part of a report: all that one life of a node has counted in a window so far.
+/// Entry of a report: everything that one incarnation of a node has counted in a window so far.
 struct WindowCounts {
   WindowNumber window;
   TenantCounts counts;
@@ -41,11 +41,11 @@
   }
 };
 
-/// A datagram of one node. Counts only grow within one incarnation, so that a report that is lost,
-/// doubled or late changes nothing but when its counts are known.
+/// Datagram from one node. Counts only grow within an incarnation, so a lost, duplicated or late
+/// report affects only when its counts become known.
 struct UsageReport {
   NodeId node;
-  std::uint64_t incarnation = 0;  ///< Drawn at the node's start.
+  std::uint64_t incarnation = 0;  ///< Random number drawn when the node starts.
   std::vector<WindowCounts> windows;
 
   template <class Archive>
--- a/src/usage/usage_meter.cc
+++ b/src/usage/usage_meter.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// For this long after its end a window still changes: runs are noted when they have been seen.
+/// How long after its end a window can still change: runs are counted when they are observed.
 constexpr Duration kMaxCountingDelay = std::chrono::milliseconds(1500);
 
 }  // namespace
--- a/src/usage/usage_meter.h
+++ b/src/usage/usage_meter.h
@@ -1,4 +1,4 @@
-// Counts the runs that one node's requests begin, and tells them again and again.
+// Counts the runs of one node's requests and reports them periodically.
 #pragma once
 
 #include <chrono>
@@ -14,18 +14,20 @@
 
 struct UsageMeterOptions {
   NodeId node;
-  std::uint64_t incarnation = 0;  ///< Drawn at the node's start.
+  std::uint64_t incarnation = 0;  ///< Random number drawn when the node starts.
   WindowLength windows;
-  /// Between two reports. What a killed node has counted since its last is lost: with 250 ms some
-  /// 2.5% of a window of 5 s if all nodes die at once.
+  /// Interval between reports. A killed node loses what it counted since its last report: at 250
+  /// ms, about 2.5% of a 5 s window if all nodes are killed at once.
   Duration period{std::chrono::milliseconds(250)};
-  /// How long after its end a window is told: until it has been reported for all nodes.
+  /// How long after its end a window stays in full reports: until it has been reported for all
+  /// nodes.
   Duration retention{std::chrono::seconds(12)};
-  /// Of so many reports one tells all windows kept; the others tell those that changed lately.
+  /// Every n-th report contains all retained windows; the others contain only windows that may have
+  /// changed recently.
   std::uint32_t full_report_interval = 8;
 };
 
-/// Tells nothing while there is nothing to tell. One loop.
+/// Sends no report while there are no counts. Runs on one loop.
 class UsageMeter {
  public:
   using Send = std::function<void(const UsageReport&)>;
@@ -34,9 +36,9 @@
              Send send);
 
   void start() { arm(); }
-  /// A request of `tenant` began to run `ago`.
+  /// Counts a request of `tenant` that began to run `ago` before now.
   void note_run(const TenantName& tenant, Duration ago);
-  /// Tells everything now: the node is about to stop.
+  /// Sends a full report immediately, because the node is about to stop.
   void flush();
 
  private:
--- a/src/usage/usage_reporter.cc
+++ b/src/usage/usage_reporter.cc
@@ -15,7 +15,8 @@
 using duties::Fence;
 
 constexpr std::string_view kComponent = "usage";
-/// Windows kept in the store after they were written: more than ever are due at once.
+/// Number of past windows kept in the store after they were written; more than are ever due at
+/// once.
 constexpr std::uint64_t kStoredWindowsKept = 8;
 
 }  // namespace
@@ -105,7 +106,7 @@
           std::from_chars(number.data(), number.data() + number.size(), window);
       auto counts = wire::decode<TenantCounts>(item.value.value_or(""));
       if (error != std::errc() || !counts) {
-        log("usage in the store not understood", WindowNumber(window), item.key);
+        log("stored usage cannot be decoded", WindowNumber(window), item.key);
         continue;
       }
       stored_[WindowNumber(window)] = std::move(counts.value());
@@ -124,9 +125,10 @@
                       [this, window, counts](auto result) {
                         call_pending_ = false;
                         if (!result) {
-                          // Whether it was done, or somebody else did it, only the store can tell.
+                          // The commit may have succeeded, or another node may have written the
+                          // sum: read the store again.
                           stored_is_current_ = false;
-                          log("usage not written down", window, result.error().message);
+                          log("usage could not be stored", window, result.error().message);
                           return;
                         }
                         stored_[window] = counts;
@@ -140,16 +142,16 @@
 void UsageReporter::on_store_rolled_back() {
   stored_is_current_ = false;
   for (const auto& [window, counts] : stored_) {
-    world_.store.commit({.conditions = {{key_of(window), {}}},
-                         .writes = {{key_of(window), wire::encode(counts), std::nullopt}},
-                         .removals = {}},
-                        [this, window = window](const auto& result) {
-                          const bool stored =
-                              result || result.error().code == shared_store::StoreErrc::kConflict;
-                          if (!stored) {
-                            log("usage not written down again", window, result.error().message);
-                          }
-                        });
+    world_.store.commit(
+        {.conditions = {{key_of(window), {}}},
+         .writes = {{key_of(window), wire::encode(counts), std::nullopt}},
+         .removals = {}},
+        [this, window = window](const auto& result) {
+          const bool stored = result || result.error().code == shared_store::StoreErrc::kConflict;
+          if (!stored) {
+            log("usage could not be restored after a rollback", window, result.error().message);
+          }
+        });
   }
 }
 
--- a/src/usage/usage_reporter.h
+++ b/src/usage/usage_reporter.h
@@ -1,4 +1,4 @@
-// Reports each window's usage once, whoever holds the duties when it falls due.
+// Reports the usage of each window once, from whichever node holds the duties when it is due.
 #pragma once
 
 #include <chrono>
@@ -20,33 +20,34 @@
 namespace ochrespring::usage {
 
 struct UsageReporterOptions {
-  std::string key_prefix;  ///< Of the store; a window's number follows.
+  std::string key_prefix;  ///< Prefix of the store keys; the window number follows.
   WindowLength windows;
-  Duration report_deadline{
-      std::chrono::seconds(10)};  ///< From a window's end; later reports are worth nothing.
-  /// From a window's end to its adding up: reports of nodes are under way, and clocks differ.
+  /// Measured from the end of the window; later reports have no value.
+  Duration report_deadline{std::chrono::seconds(10)};
+  /// Delay from the end of a window until its counts are summed. Covers reports in transit and
+  /// clock differences between nodes.
   Duration settling_time{std::chrono::milliseconds(1200)};
-  Duration period{std::chrono::milliseconds(250)};  ///< Between two looks at what is to be done.
-  /// A node that has started is told of all windows kept within this time (UsageMeterOptions).
+  Duration period{std::chrono::milliseconds(250)};  ///< Interval between checks for due windows.
+  /// Delay after the start before this node reports. By then it has received all retained windows
+  /// of the other nodes (see UsageMeterOptions::full_report_interval).
   Duration learning_time{std::chrono::milliseconds(2500)};
 };
 
 struct UsageReporterStatistics {
   std::uint64_t reported = 0;
-  std::uint64_t missed = 0;   ///< Windows whose time ran out while this node held the duties.
-  std::uint64_t refused = 0;  ///< For a higher fence.
+  std::uint64_t missed = 0;   ///< Windows whose deadline passed while this node held the duties.
+  std::uint64_t refused = 0;  ///< Reports refused because a higher fence was seen.
 };
 
-/// Guards 0.27 of a day's credit, which missing reports cost on each of seven days; with it 0 or 1
-/// window of 8 to 12 was missed.
+/// Missing reports cost 0.27 of a day's credit on each of seven days; with this reporter 0 or 1 of
+/// 8 to 12 windows was missed.
 ///
-/// Two reports of one window that differ are worse than none. So the sum of a window is written to
-/// the store before it is told to anybody, on condition that this node still holds the duties and
-/// that nobody has written one; whoever holds the duties after that tells what is written. One
-/// loop.
+/// Two conflicting reports of one window are worse than a missing one. The sum of a window is
+/// therefore written to the store before it is reported, on condition that this node still holds
+/// the duties and that no sum is stored yet. Later holders report the stored sum. Runs on one loop.
 class UsageReporter {
  public:
-  /// References outlive the reporter.
+  /// The referenced objects must outlive the reporter.
   struct World {
     TimerService& timers;
     shared_store::SharedStore& store;
@@ -60,10 +61,10 @@
   UsageReporter(World world, UsageReporterOptions options);
 
   void start();
-  /// This node has begun to hold the duties: what others have written is to be read first.
+  /// This node has acquired the duties: the stored sums are read again first.
   void on_gained() { stored_is_current_ = false; }
-  /// The store may have lost what was written down: it is written again as it was, by any node that
-  /// knows, before another can write what it has heard, which may differ from what was told.
+  /// A rollback may have removed stored sums. Every node that knows them writes them back
+  /// unchanged, before another node can store a sum that conflicts with a report already sent.
   void on_store_rolled_back();
   const UsageReporterStatistics& statistics() const { return statistics_; }
 
@@ -74,11 +75,13 @@
   void send_report(duties::Fence fence, WindowNumber window);
   bool is_due(WindowNumber window) const;
   bool is_expired(WindowNumber window) const;
-  /// Windows of before this node's start may be its to report: the others tell it of them.
+  /// Moves `next_window_` back to windows before this node's start that other nodes have reported
+  /// to it and that are not expired.
   void include_earlier_windows();
-  /// Forgets the windows whose time has run out.
+  /// Skips the windows whose deadline has passed and discards their counts. With `holding`, counts
+  /// the unreported ones as missed.
   void drop_expired(bool holding);
-  /// The oldest window that is to be told and has not been; none: nothing to do now.
+  /// The oldest due window not yet reported; empty if there is none.
   std::optional<WindowNumber> window_to_report() const;
   std::string key_of(WindowNumber window) const;
   std::vector<std::string> keys_to_remove() const;
@@ -88,11 +91,11 @@
   UsageReporterOptions options_;
   Timer timer_;
   WallTime started_;
-  bool call_pending_ = false;       ///< One call at a time.
-  bool stored_is_current_ = false;  ///< Whether `stored_` holds what the store holds.
+  bool call_pending_ = false;       ///< Only one call runs at a time.
+  bool stored_is_current_ = false;  ///< Whether `stored_` matches the store.
   std::map<WindowNumber, TenantCounts> stored_;
   std::set<WindowNumber> reported_;
-  WindowNumber next_window_;  ///< The time of all windows before this one has run out.
+  WindowNumber next_window_;  ///< The deadline of all earlier windows has passed.
   UsageReporterStatistics statistics_;
 };
 
--- a/src/usage/usage_sink.h
+++ b/src/usage/usage_sink.h
@@ -1,4 +1,4 @@
-// Who takes the reports of usage.
+// Interface of the receiver of usage reports.
 #pragma once
 
 #include "duties/errc.h"
@@ -10,7 +10,8 @@
 class UsageSink {
  public:
   virtual ~UsageSink() = default;
-  /// One window's counts, once; an exact repeat does no harm. kRefused: a higher fence was seen.
+  /// Reports the counts of one window. An identical retry is harmless. Fails with kRefused if a
+  /// higher fence was seen.
   virtual void report_usage(duties::Fence fence, const WindowCounts& counts,
                             duties::DutyCallback done) = 0;
 };
--- a/src/usage/usage_tally.cc
+++ b/src/usage/usage_tally.cc
@@ -20,7 +20,7 @@
   if (found == windows_.end()) {
     return sum;
   }
-  for (const auto& [life, counts] : found->second) {
+  for (const auto& [incarnation, counts] : found->second) {
     for (const auto& [tenant, runs] : counts) {
       sum[tenant] += runs;
     }
--- a/src/usage/usage_tally.h
+++ b/src/usage/usage_tally.h
@@ -1,4 +1,4 @@
-// Adds up what all nodes have counted.
+// Sums the usage counts of all nodes.
 #pragma once
 
 #include <cstdint>
@@ -10,15 +10,16 @@
 
 namespace ochrespring::usage {
 
-/// Every node that may come to hold the duties keeps one: a successor has what the holder had.
+/// Kept by every node that may hold the duties, so that a successor has the same counts as the
+/// holder.
 class UsageTally {
  public:
   void add(const UsageReport& report);
-  /// The sum over all lives of all nodes.
+  /// Sum of a window over all incarnations of all nodes.
   TenantCounts sum(WindowNumber window) const;
-  /// The first window that any node has told of.
+  /// The earliest window with counts; empty if there is none.
   std::optional<WindowNumber> oldest() const;
-  /// Forgets the windows before this one.
+  /// Discards the windows before `window`.
   void discard_before(WindowNumber window);
 
  private:
--- a/src/usage/wall_clock_estimate.h
+++ b/src/usage/wall_clock_estimate.h
@@ -1,4 +1,4 @@
-// True time on a machine whose time of day may jump for a while.
+// Estimate of the wall-clock time that ignores temporary clock jumps.
 #pragma once
 
 #include <chrono>
@@ -11,15 +11,15 @@
 namespace ochrespring::usage {
 
 struct WallClockOptions {
-  Duration period{std::chrono::seconds(1)};  ///< Between two samples.
-  /// Samples that vote. A jump that lasts less than half of them, or half of the time since the
-  /// start, is not followed.
+  Duration period{std::chrono::seconds(1)};  ///< Interval between samples.
+  /// Number of samples in the median. A jump that lasts for less than half of them, or for less
+  /// than half of the time since the start, is ignored.
   std::size_t samples = 31;
 };
 
-/// The monotonic clock plus the median of how far the wall clock was ahead of it lately: a jump
-/// that is taken back soon, or a clock that is set right, never makes the estimate go back and
-/// forth with it. One loop.
+/// The monotonic clock plus the median of the recent offsets of the wall clock from it. A temporary
+/// jump of the wall clock does not affect the estimate; a lasting adjustment is followed once,
+/// without going back and forth. Runs on one loop.
 class WallClockEstimate {
  public:
   WallClockEstimate(const Clock& clock, TimerService& timers, WallClockOptions options = {});
@@ -32,7 +32,7 @@
   const Clock& clock_;
   WallClockOptions options_;
   Timer timer_;
-  std::deque<Duration> wall_offsets_;  ///< Of the monotonic clock, oldest first.
+  std::deque<Duration> wall_offsets_;  ///< Wall clock minus monotonic clock, oldest sample first.
   Duration median_offset_{};
 };
 
