--- a/src/http/client.cc
+++ b/src/http/client.cc
@@ -14,10 +14,10 @@
 
 namespace {
 
-/// How long a probed connection has to stay open: several round trips within a network of ours.
+/// How long a probed connection must stay open: several round trips within a local network.
 constexpr Duration kProbeOpenTime = std::chrono::milliseconds(150);
 
-/// The caller's handle.
+/// Handle given to the user of the client.
 class ExchangeHandle final : public Exchange {
  public:
   explicit ExchangeHandle(std::shared_ptr<ClientExchange> exchange)
@@ -33,10 +33,10 @@
 };
 
 class Fetch;
-/// The fetches a client is busy with; they end with it.
+/// The running fetches of a client; they end with it.
 using RunningFetches = std::unordered_set<std::shared_ptr<Fetch>>;
 
-/// Collects one whole answer; held by its client until done.
+/// Collects one complete response; owned by its client until done.
 class Fetch final : public ResponseObserver, public std::enable_shared_from_this<Fetch> {
  public:
   using Done = std::function<void(Result<Response, FetchFailure>)>;
@@ -53,8 +53,8 @@
 
   void on_body(std::string_view bytes) override {
     if (response_.body.size() + bytes.size() > largest_) {
-      finish(
-          outcome::failure(FetchFailure{{HttpErrc::kTooLarge, "the answer is too large"}, true}));
+      finish(outcome::failure(
+          FetchFailure{{HttpErrc::kTooLarge, "response body exceeds the limit"}, true}));
       return;
     }
     response_.body.append(bytes);
@@ -86,10 +86,10 @@
 };
 
 class ConnectionProbe;
-/// The probes a client is busy with; they end with it.
+/// The running probes of a client; they end with it.
 using RunningProbes = std::unordered_set<std::shared_ptr<ConnectionProbe>>;
 
-/// One connection that is opened and closed; held by its client until done.
+/// Opens and closes one connection; owned by its client until done.
 class ConnectionProbe final : public ClientConnection::Listener,
                               public std::enable_shared_from_this<ConnectionProbe> {
  public:
@@ -159,7 +159,7 @@
   RunningProbes probes;
 
   explicit State(EventLoop& event_loop) : loop(event_loop), pool(event_loop) {}
-  /// Fetches that nobody waits for any more end with their client.
+  /// Drops the running fetches and probes together with the client.
   ~State() {
     RunningFetches().swap(fetches);
     RunningProbes().swap(probes);
--- a/src/http/client.h
+++ b/src/http/client.h
@@ -1,4 +1,4 @@
-// HTTP/1.1 client on h2o's loop and parser, with pooled connections.
+// HTTP/1.1 client on h2o's event loop with picohttpparser and pooled connections.
 #pragma once
 
 #include <cstdint>
@@ -21,66 +21,68 @@
 struct ClientRequest {
   Endpoint endpoint;
   std::string method = "GET";
-  std::string path = "/";  ///< With the query, if any.
+  std::string path = "/";  ///< Includes the query, if any.
   std::vector<Header> headers;
   std::string body;
-  Duration timeout{std::chrono::seconds(5)};          ///< For the whole exchange.
-  Duration connect_timeout{std::chrono::seconds(5)};  ///< For a new connection; within `timeout`.
-  std::size_t max_idle_connections = 64;  ///< Connections to this endpoint kept while idle.
+  Duration timeout{std::chrono::seconds(5)};  ///< Limit for the whole exchange.
+  /// Limit for opening a connection; `timeout` also applies.
+  Duration connect_timeout{std::chrono::seconds(5)};
+  std::size_t max_idle_connections = 64;  ///< Idle connections kept to this endpoint.
   bool fresh_connection = false;          ///< Do not reuse a pooled connection.
-  /// A header that the answer repeats, with the value it must have. An answer that names another
-  /// value belongs to another request: it is read over, and the connection not used again.
+  /// Response header that must have this value if it is present. A response with another value
+  /// belongs to another request: it is skipped, and the connection is not reused.
   std::optional<Header> echo;
-  /// Take an orderly close for the end of an answer that tells no length.
+  /// Treat an orderly close as the end of a response without a length.
   bool close_ends_answer = false;
-  /// Checked when the connection is there: at or after this, no byte leaves (kExpired).
+  /// Checked once the connection is established: at or after this time, nothing is sent (kExpired).
   MonotonicTime send_before = MonotonicTime::max();
-  /// Asked when the connection is there: where it says no, no byte leaves (kWithdrawn). Null: yes.
+  /// Called once the connection is established: if it returns false, nothing is sent (kWithdrawn).
+  /// May be null.
   std::function<bool()> may_send{};
 };
 
-/// Follows one exchange. Called on the loop, never inside start(); after on_complete or on_failure
-/// nothing follows.
+/// Receives the events of one exchange. Called on the loop, never from within start(). Nothing
+/// follows on_complete() or on_failure().
 class ResponseObserver {
  public:
   virtual ~ResponseObserver() = default;
   virtual void on_head(const ResponseHead& head) = 0;
   virtual void on_body(std::string_view bytes) = 0;
-  /// The answer's end is proven: its length, its last chunk, or the close that was asked for.
+  /// The response is complete: by its length, its last chunk, or a close if `close_ends_answer` is
+  /// set.
   virtual void on_complete() = 0;
-  /// `sent` tells whether any byte of the request may have left this process.
+  /// `sent` is true if any byte of the request may have left this process.
   virtual void on_failure(const HttpError& error, bool sent) = 0;
 };
 
-/// One running exchange; destruction closes its connection.
+/// Handle of a running exchange; its destruction closes the connection.
 class Exchange {
  public:
   virtual ~Exchange() = default;
-  /// Stops or resumes reading the answer.
+  /// Pauses or resumes reading the response.
   virtual void set_reading(bool reading) = 0;
 };
 
-/// What ended a fetch: the error and whether bytes may have left.
+/// Why a fetch failed, and whether any byte of the request may have been sent.
 struct FetchFailure {
   HttpError error;
   bool sent = false;
 };
 
-/// What a client has done since it was made.
+/// Counters since the construction of the client.
 struct ClientStatistics {
   std::uint64_t connections_opened = 0;
   std::uint64_t connections_reused = 0;
 };
 
-/// What became of a connection that was only opened.
+/// Result of a probe, which only opens a connection.
 enum class ProbeResult : std::uint8_t {
-  kAccepted,  ///< And kept open for a while, as by a server that waits for a request.
-  kRefused,   ///< Nothing listens there, there is no way to it, or it was closed at once: whoever
-              ///< accepts for others has nobody behind.
-  kNoAnswer,  ///< Not in time.
+  kAccepted,  ///< Accepted and kept open for a while, as by a server that waits for a request.
+  kRefused,   ///< Refused, unreachable, or closed immediately, as by a proxy without a back end.
+  kNoAnswer,  ///< No answer in time.
 };
 
-/// Client on one loop.
+/// HTTP client on one loop.
 class Client {
  public:
   explicit Client(EventLoop& loop);
@@ -90,10 +92,11 @@
 
   /// Starts an exchange; `observer` must outlive the returned object.
   std::unique_ptr<Exchange> start(ClientRequest request, ResponseObserver& observer);
-  /// Fetches a whole answer of at most `largest_body_bytes`.
+  /// Fetches a complete response with a body of at most `largest_body_bytes`.
   void fetch(ClientRequest request, std::function<void(Result<Response, FetchFailure>)> done,
              std::uint64_t largest_body_bytes = 8U << 20U);
-  /// Opens a connection and, if it is accepted and stays open for 150 ms, closes it without a byte.
+  /// Opens a connection and closes it without sending anything. The peer counts as accepting if the
+  /// connection stays open for 150 ms.
   void probe(const Endpoint& endpoint, Duration timeout, std::function<void(ProbeResult)> done);
   /// Closes the idle connections to an endpoint.
   void close_idle_connections(const Endpoint& endpoint);
--- a/src/http/client_connection.cc
+++ b/src/http/client_connection.cc
@@ -37,7 +37,7 @@
     return fail(HttpErrc::kConnect, "open a socket: " + std::generic_category().message(errno));
   }
   set_option(descriptor, TCP_NODELAY, 1);
-  // A machine behind a cut says nothing: probes end the connection.
+  // Keep-alive probes detect a peer behind a network partition, which sends nothing.
   const int on = 1;
   ::setsockopt(descriptor, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof(on));
   set_option(descriptor, TCP_KEEPIDLE, kKeepAliveProbeSeconds);
--- a/src/http/client_connection.h
+++ b/src/http/client_connection.h
@@ -1,6 +1,6 @@
-// One outgoing TCP connection on a loop. Reads and writes itself, because h2o's socket does not
-// tell a reset from an orderly close, and an answer without a length is whole only after the
-// latter. Private to src/http.
+// One outgoing TCP connection on a loop. Uses its own reads and writes, because h2o's socket does
+// not distinguish a reset from an orderly close, and a response without a length is complete only
+// after the latter. Private to src/http.
 #pragma once
 
 #include <cstddef>
@@ -16,13 +16,13 @@
 
 namespace ochrespring::http {
 
-/// How one read or write ended.
+/// Result of one read or write.
 enum class IoStatus : std::uint8_t {
-  kDone,          ///< Bytes were moved.
-  kAgain,         ///< Nothing now; wait for the next event.
-  kClosed,        ///< The peer has closed its side in order.
+  kDone,          ///< Bytes were transferred.
+  kAgain,         ///< Would block; wait for the next event.
+  kClosed,        ///< Orderly close by the peer.
   kFailed,        ///< Reset or unreachable.
-  kUnresponsive,  ///< The peer has not acknowledged bytes or probes for too long.
+  kUnresponsive,  ///< The peer did not acknowledge data or keep-alive probes in time.
 };
 
 struct IoResult {
@@ -33,17 +33,17 @@
 /// Owned by an exchange or by the pool. Destruction closes the connection.
 class ClientConnection {
  public:
-  /// Told on the loop about events; may destroy the connection from within.
+  /// Receives the events on the loop; may destroy the connection from within.
   class Listener {
    public:
     virtual ~Listener() = default;
-    /// The connection was made, or could not be.
+    /// The connection was established or has failed.
     virtual void on_connected(bool success) = 0;
     virtual void on_readable() = 0;
     virtual void on_writable() = 0;
   };
 
-  /// Begins to connect. `silence` bounds how long sent bytes may stay unacknowledged.
+  /// Starts connecting. `max_unacknowledged` limits how long sent bytes may stay unacknowledged.
   static Result<std::unique_ptr<ClientConnection>, HttpError> open(EventLoop& loop,
                                                                    const SocketAddress& address,
                                                                    Duration max_unacknowledged);
@@ -54,11 +54,11 @@
   void set_listener(Listener* listener) { listener_ = listener; }
   IoResult read(char* buffer, std::size_t size);
   IoResult write(std::string_view head, std::string_view body);
-  /// Starts or stops reporting that there is something to read.
+  /// Enables or disables on_readable().
   void set_reading(bool reading);
-  /// Reports once when more can be written.
+  /// Requests one call of on_writable().
   void await_writable();
-  /// Whether the peer has sent anything, or closed, that was not read yet.
+  /// Whether there is unread data or an unread close from the peer.
   bool has_pending_input() const;
 
  private:
--- a/src/http/client_exchange.cc
+++ b/src/http/client_exchange.cc
@@ -16,11 +16,11 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// How long an idle connection is kept if the peer does not say. Shorter than servers keep theirs.
+/// Idle lifetime if the peer does not announce one; shorter than that of common servers.
 constexpr Duration kDefaultKeepAlive = seconds(4);
-/// Taken off what the peer says, so that we close first.
+/// Subtracted from the lifetime that the peer announces, so that the client closes first.
 constexpr Duration kKeepAliveMargin = milliseconds(700);
-/// Longest silence of a peer while sent bytes are unacknowledged.
+/// How long sent bytes may stay unacknowledged.
 constexpr Duration kMaxUnacknowledgedTime = milliseconds(800);
 constexpr std::size_t kReadBytes = 32U << 10U;
 constexpr std::size_t kMaxHeadBytes = 64U << 10U;
@@ -48,7 +48,7 @@
   return std::search(list.begin(), list.end(), token.begin(), token.end(), same) != list.end();
 }
 
-/// Seconds of `Keep-Alive: timeout=N`, or the default.
+/// Idle lifetime from `Keep-Alive: timeout=N`, or the default.
 Duration keep_alive(std::string_view text) {
   constexpr std::string_view kName = "timeout=";
   const std::size_t at = text.find(kName);
@@ -87,7 +87,8 @@
   }
   timeout_.arm(request_.timeout, [this] {
     fail_with(sent_ ? HttpErrc::kTimeout : HttpErrc::kConnect,
-              sent_ ? "no whole answer in time" : "no connection in time");
+              sent_ ? "no complete response before the timeout"
+                    : "connection not established before the timeout");
   });
   if (!request_.fresh_connection) {
     connection_ = pool_.take(request_.endpoint.value());
@@ -107,8 +108,9 @@
   ++statistics_.connections_opened;
   connection_ = std::move(opened.value());
   connection_->set_listener(this);
-  connect_timeout_.arm(request_.connect_timeout,
-                       [this] { fail_with(HttpErrc::kConnect, "no connection in time"); });
+  connect_timeout_.arm(request_.connect_timeout, [this] {
+    fail_with(HttpErrc::kConnect, "connection not established before the timeout");
+  });
 }
 
 void ClientExchange::fail_later(HttpErrc code, std::string message) {
@@ -146,11 +148,11 @@
     return;
   }
   if (system_clock().now() >= request_.send_before) {
-    fail_with(HttpErrc::kExpired, "the time to send by has passed");
+    fail_with(HttpErrc::kExpired, "send deadline passed before the connection was ready");
     return;
   }
   if (request_.may_send && !request_.may_send()) {
-    fail_with(HttpErrc::kWithdrawn, "not wanted any more");
+    fail_with(HttpErrc::kWithdrawn, "request withdrawn before it was sent");
     return;
   }
   connection_->set_reading(true);
@@ -168,7 +170,7 @@
       return;
     }
     if (result.status != IoStatus::kDone) {
-      // An answer that came before may still be read; reading reports the end.
+      // The response may still be readable; the read path reports the end.
       return;
     }
     sent_ = true;
@@ -206,7 +208,7 @@
   }
 }
 
-/// Returns whether the head was taken and the exchange still runs.
+/// Returns whether the head is complete and the exchange still runs.
 bool ClientExchange::process_head() {
   while (!head_received_) {
     const ParseOutcome outcome = parse_head(input_, parsed_);
@@ -214,7 +216,7 @@
       return false;
     }
     if (outcome != ParseOutcome::kComplete) {
-      fail_with(HttpErrc::kReset, "the answer's head cannot be read");
+      fail_with(HttpErrc::kReset, "malformed or oversized response head");
       return false;
     }
     input_.erase(0, parsed_.length);
@@ -244,7 +246,7 @@
   return !value.empty() && value != request_.echo->value;
 }
 
-/// The answer being read is whole; `trailing` came behind it.
+/// Called when the current response is complete; `trailing` holds the bytes after it.
 void ClientExchange::on_response_end(std::string trailing) {
   if (!skipping_) {
     complete(!trailing.empty());
@@ -301,7 +303,7 @@
   bytes.swap(input_);
   const ChunkStep step = chunks_.decode(bytes.data(), bytes.size());
   if (step.outcome == ParseOutcome::kMalformed) {
-    fail_with(HttpErrc::kTruncated, "the chunks of the answer cannot be read");
+    fail_with(HttpErrc::kTruncated, "malformed chunked encoding in the response");
     return;
   }
   deliver(std::string_view(bytes).substr(0, step.decoded));
@@ -318,12 +320,12 @@
 
 void ClientExchange::on_peer_closed(IoStatus status) {
   if (status == IoStatus::kUnresponsive) {
-    fail_with(HttpErrc::kTimeout, "the peer has fallen silent");
+    fail_with(HttpErrc::kTimeout, "peer does not acknowledge data");
     return;
   }
   if (!head_received_ || skipping_) {
     fail_with(reused_ ? HttpErrc::kStaleConnection : HttpErrc::kReset,
-              "the connection ended before an answer");
+              "connection closed before a response");
     return;
   }
   const bool whole = body_end_ == BodyEnd::kClose && status == IoStatus::kClosed &&
@@ -333,7 +335,7 @@
     complete(false);
     return;
   }
-  fail_with(HttpErrc::kTruncated, "the connection ended before the answer's end was proven");
+  fail_with(HttpErrc::kTruncated, "connection closed before the end of the response");
 }
 
 void ClientExchange::complete(bool trailing) {
@@ -345,8 +347,8 @@
   }
 }
 
-/// Bytes behind the answer belong to no request, and a request that was not sent whole would be
-/// continued by the next one: such connections are closed.
+/// Closes connections that cannot be reused: unexpected bytes after the response belong to no
+/// request, and a partially sent request would be continued by the next one.
 void ClientExchange::return_to_pool(bool trailing) {
   std::unique_ptr<ClientConnection> connection = std::move(connection_);
   if (!connection || trailing || skipped_response_ || !all_written() ||
--- a/src/http/client_exchange.h
+++ b/src/http/client_exchange.h
@@ -1,4 +1,4 @@
-// One request and its answer on one outgoing connection. Private to src/http.
+// One request and its response on one outgoing connection. Private to src/http.
 #pragma once
 
 #include <memory>
@@ -12,7 +12,7 @@
 
 namespace ochrespring::http {
 
-/// Runs an exchange. Held by the caller's handle and, while it runs, by itself.
+/// Runs an exchange. Owned by the caller's handle and, while it runs, by itself.
 class ClientExchange final : public ClientConnection::Listener,
                              public std::enable_shared_from_this<ClientExchange> {
  public:
@@ -20,7 +20,7 @@
                  ClientRequest request, ResponseObserver& observer);
 
   void start();
-  /// Nothing is reported from now on; the connection is closed.
+  /// Stops all callbacks and closes the connection.
   void cancel();
   void set_reading(bool reading);
 
@@ -29,7 +29,7 @@
   void on_writable() override;
 
  private:
-  /// How the end of an answer is known.
+  /// How the end of the response body is determined.
   enum class BodyEnd : std::uint8_t { kNone, kLength, kChunked, kClose };
 
   void send_request();
@@ -59,16 +59,17 @@
   Timer connect_timeout_;
   std::shared_ptr<ClientExchange> self_;
   std::unique_ptr<ClientConnection> connection_;
-  std::string input_;  ///< Received and not yet delivered.
+  std::string input_;  ///< Received but not yet processed.
   ParsedHead parsed_;
   ChunkDecoder chunks_;
   BodyEnd body_end_ = BodyEnd::kClose;
-  std::size_t body_left_ = 0;  ///< For kLength.
+  std::size_t body_left_ = 0;  ///< Remaining body bytes for kLength.
   std::size_t written_ = 0;
-  Duration idle_lifetime_{};  ///< How long the connection may be kept; zero: not at all.
+  Duration idle_lifetime_{};  ///< How long the connection may stay idle in the pool; zero: do not
+                              ///< keep it.
   bool head_received_ = false;
-  bool skipping_ = false;          ///< The answer being read belongs to another request.
-  bool skipped_response_ = false;  ///< Such an answer came on this connection.
+  bool skipping_ = false;          ///< The current response belongs to another request.
+  bool skipped_response_ = false;  ///< Such a response was received on this connection.
   bool reused_ = false;
   bool sent_ = false;
   bool reading_ = true;
--- a/src/http/connection_pool.cc
+++ b/src/http/connection_pool.cc
@@ -44,9 +44,9 @@
 }
 
 void ConnectionPool::put(const std::string& endpoint, std::unique_ptr<ClientConnection> connection,
-                         Duration keep, std::size_t most) {
+                         Duration keep, std::size_t max_idle) {
   auto& kept = idle_[endpoint];
-  if (kept.size() < most) {
+  if (kept.size() < max_idle) {
     kept.push_back(std::make_unique<Idle>(*this, endpoint, std::move(connection), keep));
   }
 }
--- a/src/http/connection_pool.h
+++ b/src/http/connection_pool.h
@@ -12,21 +12,21 @@
 
 namespace ochrespring::http {
 
-/// Keeps connections until they are taken, the peer closes or talks, or their time is over.
+/// Keeps connections until they are taken, the peer sends data or closes, or their lifetime ends.
 class ConnectionPool {
  public:
   explicit ConnectionPool(EventLoop& loop) : loop_(loop) {}
 
-  /// The connection used last, or null.
+  /// Returns the most recently used connection, or null.
   std::unique_ptr<ClientConnection> take(const std::string& endpoint);
-  /// Keeps a connection for `keep`, or closes it if `most` are kept already.
+  /// Keeps a connection for `keep`, or closes it if `max_idle` connections are already kept.
   void put(const std::string& endpoint, std::unique_ptr<ClientConnection> connection, Duration keep,
-           std::size_t most);
+           std::size_t max_idle);
   bool has(const std::string& endpoint) const;
   void close_all(const std::string& endpoint) { idle_.erase(endpoint); }
 
  private:
-  /// One kept connection. Anything it reports while idle ends it.
+  /// An idle connection. Any event on it removes it from the pool.
   class Idle final : public ClientConnection::Listener {
    public:
     Idle(ConnectionPool& pool, std::string endpoint, std::unique_ptr<ClientConnection> connection,
--- a/src/http/errc.h
+++ b/src/http/errc.h
@@ -10,16 +10,15 @@
 enum class HttpErrc {
   kAddressInvalid,
   kAddressInUse,
-  kTlsInvalid,       ///< Certificate, key or authority cannot be used.
-  kConnect,          ///< No connection: no byte of the request left.
-  kReset,            ///< The connection failed after bytes of the request may have left.
-  kStaleConnection,  ///< A reused connection failed before any byte of an answer; bytes may have
-                     ///< left.
-  kTruncated,        ///< The answer ended before its proven end.
-  kTimeout,          ///< After bytes of the request may have left.
+  kTlsInvalid,       ///< The certificate, key or authority is unusable.
+  kConnect,          ///< No connection; no byte of the request was sent.
+  kReset,            ///< The connection failed after bytes of the request may have been sent.
+  kStaleConnection,  ///< A reused connection failed before the response; bytes may have been sent.
+  kTruncated,        ///< The connection ended before the end of the response.
+  kTimeout,          ///< Timeout after bytes of the request may have been sent.
   kTooLarge,
-  kExpired,    ///< The time to send by had passed before a byte could leave.
-  kWithdrawn,  ///< Whoever asked wanted it sent no more before a byte could leave.
+  kExpired,    ///< The send deadline passed before any byte was sent.
+  kWithdrawn,  ///< The requester withdrew the request before any byte was sent.
   kCancelled,
 };
 
--- a/src/http/event_loop.cc
+++ b/src/http/event_loop.cc
@@ -18,10 +18,11 @@
 
 namespace {
 
-/// Longest sleep. Timers are due by a clock that goes on while the machine is suspended, but the
-/// sleep in the kernel does not: after a suspension it lasts for what was left of it.
+/// Maximum poll time. Timers use a clock that continues while the machine is suspended, but the
+/// kernel's poll timeout does not: after a suspension it still waits for its remainder.
 constexpr std::int64_t kMaxWaitMilliseconds = 250;
-/// A timer overdue by this much has been held up, by a suspension, a pause or want of processor.
+/// A timer that is overdue by more than this was delayed by a suspension, a stopped process or CPU
+/// starvation.
 constexpr Duration kStallThreshold = std::chrono::milliseconds(20);
 constexpr std::int64_t kNanosecondsPerMillisecond = 1'000'000;
 
@@ -31,8 +32,8 @@
 
 }  // namespace
 
-/// Timers and the task queue. Only `tasks`, `wake_sent` and `stopping` are shared with other
-/// threads.
+/// Timers and the task queue. Only `tasks`, `wake_sent`, `stopping` and `owner` are shared with
+/// other threads.
 struct EventLoop::State {
   h2o_evloop_t* loop = h2o_evloop_create();
   h2o_multithread_queue_t* queue = h2o_multithread_create_queue(loop);
@@ -47,15 +48,15 @@
 
   MonotonicTime poll_began = clock.now();
   MonotonicTime poll_ended = clock.now();
-  Duration poll_wait{};    ///< How long the poll was to wait at most.
-  Duration before_poll{};  ///< How long nothing was polled before it.
+  Duration poll_wait{};    ///< Timeout of the last poll.
+  Duration before_poll{};  ///< Time between the previous poll and the last one.
 
   std::map<std::pair<MonotonicTime, TimerId>, Task> timers;
   std::unordered_map<TimerId, MonotonicTime> due;
   TimerId next_timer = 1;
 
   explicit State(const Clock& loop_clock) : clock(loop_clock) {
-    // A peer that closes while we write is an error of that write, not the end of the process.
+    // Writing to a closed connection must fail instead of terminating the process.
     std::signal(SIGPIPE, SIG_IGN);
     h2o_multithread_register_receiver(queue, &receiver, ignore_messages);
   }
@@ -81,11 +82,11 @@
 
   Duration stall_duration() const {
     const Duration in_poll = clock.now() - poll_began - poll_wait;
-    Duration held{};
+    Duration total{};
     for (const Duration span : {before_poll, in_poll}) {
-      held += span > kStallThreshold ? span : Duration::zero();
+      total += span > kStallThreshold ? span : Duration::zero();
     }
-    return held;
+    return total;
   }
 
   bool run_tasks() {
@@ -104,7 +105,7 @@
   bool run_timers() {
     MonotonicTime now = clock.now();
     if (!timers.empty() && now - timers.begin()->first.first > kStallThreshold) {
-      // What came meanwhile is read first: an answer that has arrived is not given up as silent.
+      // Reads pending input first, so that a response that has already arrived is not timed out.
       poll(0);
       now = clock.now();
     }
@@ -118,8 +119,8 @@
     return ran;
   }
 
-  /// Runs everything that is due outside of socket events. h2o polls without looking at writes that
-  /// completed at once, so they are handed on before each poll.
+  /// Runs all due timers and tasks. h2o polls without handling writes that completed immediately,
+  /// so their callbacks run here before each poll.
   void run_due() {
     bool ran = true;
     while (ran) {
--- a/src/http/event_loop.h
+++ b/src/http/event_loop.h
@@ -1,4 +1,4 @@
-// One h2o event loop: timers, and messages from other threads.
+// An h2o event loop with timers and tasks from other threads.
 #pragma once
 
 #include <functional>
@@ -11,12 +11,12 @@
 
 namespace ochrespring::http {
 
-/// Event loop owned by one thread. Timers are due by a clock that counts suspensions of the
-/// machine; those that came due in one run up to 250 ms after it, behind what has come to sockets.
-/// Everything but post() and stop() is called on that thread.
+/// Event loop owned by one thread. Timers use a clock that counts the time while the machine is
+/// suspended; those that expired during a suspension run up to 250 ms after it, after pending
+/// socket input. All functions except post() and stop() must be called on that thread.
 class EventLoop final : public TimerService {
  public:
-  /// `clock` decides when timers are due and outlives the loop.
+  /// `clock` determines when timers are due; it must outlive the loop.
   explicit EventLoop(const Clock& clock = system_clock());
   ~EventLoop() override;
   EventLoop(const EventLoop&) = delete;
@@ -26,14 +26,14 @@
   void run();
   /// Makes run() return soon. Thread-safe.
   void stop();
-  /// Runs `task` on the loop, in the order posted. Thread-safe.
+  /// Runs `task` on the loop, in posting order. Thread-safe.
   void post(std::function<void()> task);
 
   TimerId schedule_after(Duration delay, std::function<void()> callback) override;
   void cancel(TimerId timer) override;
 
-  /// How long what comes to a socket now may have waited there because nothing ran: the machine was
-  /// suspended, or the process paused. Zero as a rule.
+  /// How long input that is read now may have waited because the loop did not run, for instance
+  /// while the machine was suspended or the process was stopped. Usually zero.
   Duration stall_duration() const;
 
   /// The underlying h2o loop, for the HTTP and peer layers.
--- a/src/http/h2o_api.h
+++ b/src/http/h2o_api.h
@@ -1,4 +1,4 @@
-// h2o's C interface, included in one way everywhere. Private to src/http.
+// Common include of h2o's C headers. Private to src/http.
 #pragma once
 
 #include <h2o.h>
@@ -10,15 +10,15 @@
 
 namespace ochrespring::http {
 
-/// From this version on a request, as h2o numbers them, is a stream among others on its connection.
+/// First h2o request version that denotes HTTP/2, where requests share a connection as streams.
 inline constexpr int kHttp2Version = 0x200;
 
-/// Views h2o's bytes without copying.
+/// Views an h2o buffer without copying.
 inline std::string_view to_view(const h2o_iovec_t& bytes) {
   return {bytes.base, bytes.len};
 }
 
-/// Views our bytes as h2o's; the bytes must outlive the result.
+/// Views bytes as an h2o buffer; the bytes must outlive the result.
 inline h2o_iovec_t to_iovec(std::string_view bytes) {
   return h2o_iovec_init(bytes.data(), bytes.size());
 }
--- a/src/http/message.h
+++ b/src/http/message.h
@@ -1,4 +1,4 @@
-// HTTP messages as the project's code sees them.
+// HTTP message types.
 #pragma once
 
 #include <cstdint>
@@ -16,13 +16,13 @@
   std::string value;
 };
 
-/// First value of a header by lower-case name, or empty.
+/// Returns the first value of the header with this lower-case name, or an empty string.
 std::string_view find_header(const std::vector<Header>& headers, std::string_view name);
 
-/// The number that a header's value begins with; none: it begins with no number.
+/// Parses the leading number of a header value; empty if there is none.
 std::optional<std::uint64_t> parse_number(std::string_view value);
 
-/// A whole request.
+/// A complete request.
 struct Request {
   std::string method;
   std::string path;   ///< Without the query.
@@ -36,7 +36,7 @@
   std::vector<Header> headers;
 };
 
-/// A whole answer.
+/// A complete response.
 struct Response {
   ResponseHead head;
   std::string body;
--- a/src/http/message_parser.h
+++ b/src/http/message_parser.h
@@ -1,5 +1,5 @@
-// The parts of picohttpparser that the client uses. libh2o carries and exports them, but Debian's
-// package of it has no header for them. Private to src/http.
+// Declares the functions of picohttpparser that the client uses. libh2o contains and exports them,
+// but the Debian package has no header for them. Private to src/http.
 #pragma once
 
 #include <cstddef>
@@ -13,26 +13,26 @@
 
 namespace ochrespring::http {
 
-/// A parsed head of an answer.
+/// A parsed response head.
 struct ParsedHead {
   ResponseHead head;
-  int minor_version = 1;   ///< Of HTTP/1.
-  std::size_t length = 0;  ///< Bytes of the head.
+  int minor_version = 1;   ///< Minor version of HTTP/1.
+  std::size_t length = 0;  ///< Size of the head in bytes.
 };
 
 enum class ParseOutcome : std::uint8_t { kComplete, kIncomplete, kMalformed };
 
-/// Reads an answer's head from the beginning of `bytes`.
+/// Parses the response head at the beginning of `bytes`.
 ParseOutcome parse_head(std::string_view bytes, ParsedHead& parsed);
 
-/// What one step of decoding chunks gave.
+/// Result of decoding one buffer of chunked data.
 struct ChunkStep {
   ParseOutcome outcome = ParseOutcome::kIncomplete;
-  std::size_t decoded = 0;   ///< Bytes of the body, now at the buffer's beginning.
-  std::size_t trailing = 0;  ///< Bytes behind the last chunk, if complete.
+  std::size_t decoded = 0;   ///< Decoded body bytes, now at the beginning of the buffer.
+  std::size_t trailing = 0;  ///< Bytes after the last chunk, if complete.
 };
 
-/// Decodes the chunked coding in place.
+/// Decodes chunked transfer coding in place.
 class ChunkDecoder {
  public:
   ChunkStep decode(char* bytes, std::size_t size);
--- a/src/http/response_stream.cc
+++ b/src/http/response_stream.cc
@@ -12,12 +12,12 @@
 
 namespace {
 
-/// How often a caller with pipelined bytes waiting is checked for having gone.
+/// Interval at which a caller with pipelined input is checked for disconnection.
 constexpr Duration kPipelinedCheckPeriod = std::chrono::seconds(1);
 constexpr int kHttp11Version = 0x101;
 constexpr std::string_view kContentLength = "content-length";
 
-/// Whether the other end of a TCP connection has closed it or its sending side.
+/// Whether the peer has closed the TCP connection or its sending direction.
 bool peer_has_closed(int descriptor) {
   tcp_info info{};
   socklen_t length = sizeof(info);
@@ -158,7 +158,7 @@
     return;
   }
   if (end_ == End::kAborted && head_sent_ && !queued_.empty()) {
-    // What was accepted before the cut still reaches the caller.
+    // Data accepted before the abort is still sent to the caller.
     in_flight_.swap(queued_);
     send(H2O_SEND_STATE_IN_PROGRESS);
     return;
@@ -209,7 +209,7 @@
   }
 }
 
-/// The connection's socket while this answer owns an HTTP/1.1 connection, else null.
+/// Returns the connection's socket for an HTTP/1 request, else null.
 h2o_socket_t* ResponseStream::http1_socket() const {
   if (request_ == nullptr || request_->version >= kHttp2Version) {
     return nullptr;
@@ -217,8 +217,9 @@
   return request_->conn->callbacks->get_socket(request_->conn);
 }
 
-/// h2o does not read an HTTP/1.1 connection while it is being answered, so it would not see the
-/// caller leave. The socket is polled without reading: pipelined requests stay where they are.
+/// h2o does not read an HTTP/1.1 connection while it is answering a request, so it does not notice
+/// that the caller disconnects. The socket is polled without reading, which leaves pipelined
+/// requests in place.
 void ResponseStream::watch_for_disconnect() {
   h2o_socket_t* socket = http1_socket();
   if (socket == nullptr || h2o_socket_is_reading(socket) != 0) {
@@ -244,7 +245,7 @@
     stop_watching();
   }
   if (!peer_has_closed(h2o_socket_get_fd(socket))) {
-    // A pipelined request waits; polling for readability would now spin.
+    // Pipelined input is pending; polling for readability would busy-loop.
     pipelined_check_.arm(kPipelinedCheckPeriod, [this] { check_for_disconnect(); });
     return;
   }
@@ -270,8 +271,8 @@
   h2o_socket_dont_read(socket, 0);
 }
 
-/// Makes the close of an HTTP/1 connection a reset: to an HTTP/1.0 caller an orderly close would
-/// look like the end of the answer.
+/// Makes the close of an HTTP/1 connection a reset: an HTTP/1.0 caller would take an orderly close
+/// for the end of the response.
 void ResponseStream::reset_on_close() {
   h2o_socket_t* socket = http1_socket();
   if (socket == nullptr) {
@@ -281,8 +282,8 @@
   ::setsockopt(h2o_socket_get_fd(socket), SOL_SOCKET, SO_LINGER, &reset, sizeof(reset));
 }
 
-/// Closes an HTTP/1 connection before h2o marks the answer as broken: its mark is a chunk that no
-/// parser can read, and the caller shall find whole chunks and then the end.
+/// Closes an HTTP/1 connection before h2o marks the response as broken. h2o's mark is an invalid
+/// chunk; the caller must receive complete chunks followed by the end of the connection.
 void ResponseStream::shut_down_connection() {
   h2o_socket_t* socket = http1_socket();
   if (socket != nullptr) {
@@ -290,7 +291,7 @@
   }
 }
 
-/// Ends an HTTP/1 connection whose caller does not take the bytes being written.
+/// Resets an HTTP/1 connection whose caller does not read the bytes being written.
 void ResponseStream::reset_connection() {
   h2o_socket_t* socket = http1_socket();
   if (socket == nullptr) {
--- a/src/http/response_stream.h
+++ b/src/http/response_stream.h
@@ -1,4 +1,4 @@
-// The server's ResponseWriter: one answer on one h2o request.
+// ResponseWriter of the server: one response to one h2o request.
 #pragma once
 
 #include <functional>
@@ -11,17 +11,17 @@
 
 namespace ochrespring::http {
 
-/// Feeds h2o's generator interface, which takes one write at a time, from a buffer. Writes made in
-/// one turn of the loop are joined into one. Outlives the h2o request, which tells it when it goes
-/// by way of its memory pool: the only notice h2o gives in every case (HTTP/1.1 close, HTTP/2
-/// reset, answer finished).
+/// Buffers the response for h2o's generator interface, which accepts one write at a time. Writes
+/// made in one loop iteration are merged. May outlive the h2o request, whose disposal it detects
+/// through the request's memory pool: this is the only notification that h2o gives in all cases
+/// (HTTP/1.1 close, HTTP/2 reset, response finished).
 class ResponseStream final : public ResponseWriter,
                              public std::enable_shared_from_this<ResponseStream> {
  public:
   ResponseStream(EventLoop& loop, h2o_req_t* request);
   ~ResponseStream() override;
 
-  /// Ties the stream to the request's life. Called once, after construction.
+  /// Binds the stream to the lifetime of the request. Called once, after construction.
   void attach();
 
   void send_head(const ResponseHead& head) override;
@@ -34,12 +34,12 @@
   void on_drained(std::function<void()> callback) override { on_drained_ = std::move(callback); }
 
  private:
-  /// h2o's generator with the way back to this object.
+  /// h2o's generator with a pointer to its stream.
   struct Generator {
     h2o_generator_t super;
     ResponseStream* owner;
   };
-  /// Lives in the request's memory pool and is disposed of with it.
+  /// Allocated in the memory pool of the request and disposed of with it.
   struct RequestSlot {
     ResponseStream* stream;
   };
@@ -66,7 +66,7 @@
   h2o_req_t* request_;
   Generator generator_{};
   Timer pipelined_check_;
-  std::shared_ptr<ResponseStream> self_;  ///< Held while the request lives.
+  std::shared_ptr<ResponseStream> self_;  ///< Keeps the stream alive while the request exists.
   std::string queued_;
   std::string in_flight_;
   std::function<void()> on_closed_;
--- a/src/http/server.cc
+++ b/src/http/server.cc
@@ -20,12 +20,12 @@
 
 namespace {
 
-/// Connections taken from the backlog in one turn of the loop.
+/// Connections accepted per loop iteration.
 constexpr int kAcceptsPerIteration = 64;
-/// Pause of accepting when the process has no descriptor left.
+/// How long accepting is suspended when the process has no file descriptors left.
 constexpr Duration kAcceptPause = std::chrono::milliseconds(100);
 constexpr std::size_t kHttp2RequestsPerConnection = 256;
-/// Turns of the loop given to connections that are being closed when the server goes.
+/// Loop iterations for closing connections when the server is destroyed.
 constexpr int kClosingIterations = 16;
 
 std::uint64_t to_milliseconds(Duration span) {
@@ -65,8 +65,9 @@
   return request;
 }
 
-/// Whether there is anything of a request on its connection. h2o keeps a request's bytes in the
-/// input of an HTTP/1.1 connection until its answer is out; of HTTP/2 it shows open streams only.
+/// Whether a request is in progress on its connection. h2o keeps the bytes of an HTTP/1.1 request
+/// in the connection's input buffer until its response is written; for HTTP/2 it lists open streams
+/// only.
 bool is_in_progress(const h2o_req_t& request) {
   if (request.version >= kHttp2Version) {
     return true;
@@ -84,7 +85,7 @@
   while (h2o_linklist_is_empty(&timeout._entries) == 0) {
     h2o_linklist_t* entry = timeout._entries.next;
     if (entry->next == nullptr || entry->prev == nullptr) {
-      return;  // Not linked; h2o's list is never in this state.
+      return;  // Unreachable in h2o; the entry is not linked.
     }
     h2o_linklist_unlink(entry);
   }
@@ -162,7 +163,7 @@
     }
   }
 
-  /// Returns how many there were.
+  /// Returns the number of accepted connections.
   int accept_connections() {
     for (int accepted = 0; accepted != kAcceptsPerIteration; ++accepted) {
       errno = 0;
@@ -210,7 +211,7 @@
     return 0;
   }
 
-  /// Closes what is still open and lets h2o free it; the loop no longer runs by itself.
+  /// Closes the open connections and lets h2o free them; the loop no longer runs by itself.
   void close_connections() {
     h2o_context_request_shutdown(&context);
     config.http1.callbacks.foreach_request(&context, shut_down_connection, nullptr);
@@ -218,8 +219,8 @@
     for (int i = 0; i != kClosingIterations; ++i) {
       h2o_evloop_run(loop.native(), 0);
     }
-    // What is still waiting (h2o's repeated GOAWAY, idle HTTP/2 connections) must not be found by
-    // h2o_context_dispose(), which insists on empty lists.
+    // Pending timeouts (the second GOAWAY of h2o, idle HTTP/2 connections) are unlinked, because
+    // h2o_context_dispose() asserts that these lists are empty.
     for (h2o_timeout_t* timeout : {&context.one_sec_timeout, &context.http1.req_timeout,
                                    &context.http2.idle_timeout, &context.handshake_timeout}) {
       unlink_entries(*timeout);
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -16,47 +16,48 @@
 
 namespace ochrespring::http {
 
-/// Files of a TLS identity, read again by Server::reload_tls().
+/// Files of a TLS identity; Server::reload_tls() reads them again.
 struct TlsFiles {
   std::string certificate;  ///< PEM chain.
   std::string key;          ///< PEM.
-  std::string authority;    ///< PEM; when set, the peer must present a certificate it signed.
+  std::string authority;    ///< PEM; if set, peers must present a certificate signed by it.
 };
 
 struct ServerSettings {
-  Endpoint listen;  ///< Port 0 picks a free one.
+  Endpoint listen;  ///< Port 0 selects a free port.
   std::optional<TlsFiles> tls;
   std::uint64_t largest_body_bytes = 8U << 20U;
-  bool reuse_port = false;  ///< Several loops listen on one address.
-  /// How long a caller's connection may rest. Longer than clients keep their end.
+  bool reuse_port = false;  ///< Several loops may listen on the same address.
+  /// Idle timeout of callers' connections; longer than the keep-alive time of clients.
   Duration idle_timeout{std::chrono::seconds(60)};
 };
 
-/// The answer to one request. Shared between the handler and the server; used on the loop only.
+/// Writes the response to one request. Shared between the handler and the server; used on the loop
+/// only.
 class ResponseWriter {
  public:
   virtual ~ResponseWriter() = default;
   virtual void send_head(const ResponseHead& head) = 0;
   virtual void send_body(std::string_view bytes) = 0;
   virtual void finish() = 0;
-  /// Cuts the answer so that the caller sees it is not whole.
+  /// Aborts the response such that the caller sees that it is incomplete.
   virtual void abort() = 0;
-  /// Bytes accepted and not yet written to the caller's connection.
+  /// Bytes accepted but not yet written to the connection.
   virtual std::size_t buffered_bytes() const = 0;
-  /// Whether the caller's connection or stream is gone.
+  /// Whether the connection or stream of the caller is closed.
   virtual bool closed() const = 0;
-  /// Called once when the caller goes away before the answer is finished.
+  /// Sets the callback for a caller that disconnects before the response is finished; called once.
   virtual void on_closed(std::function<void()> callback) = 0;
-  /// Called whenever buffered_bytes() falls to zero.
+  /// Sets the callback for each time buffered_bytes() becomes zero.
   virtual void on_drained(std::function<void()> callback) = 0;
 
-  /// Sends a whole answer.
+  /// Sends a complete response.
   void respond(std::uint16_t status, std::vector<Header> headers, std::string_view body);
 };
 
 using Handler = std::function<void(Request request, std::shared_ptr<ResponseWriter> response)>;
 
-/// Server on one loop. Destroy only after the loop has stopped.
+/// HTTP server on one loop. Destroy it only after the loop has stopped.
 class Server {
  public:
   Server(EventLoop& loop, ServerSettings settings);
@@ -64,25 +65,27 @@
   Server(const Server&) = delete;
   Server& operator=(const Server&) = delete;
 
-  /// Handles requests whose path begins with `prefix`; the longest prefix wins. Before listen().
+  /// Routes requests whose path begins with `prefix` to `handler`; the longest prefix wins. Call
+  /// before listen().
   void route(const std::string& prefix, Handler handler);
-  /// Binds and accepts.
+  /// Binds the address and starts accepting connections.
   Result<void, HttpError> listen();
-  /// The address bound, with its real port.
+  /// The bound address with its actual port.
   Endpoint bound() const;
-  /// From now on every answer says that its connection closes; new connections are still taken.
+  /// From now on every response announces that its connection closes. New connections are still
+  /// accepted.
   void announce_close();
-  /// Largest body of a request from now on.
+  /// Sets the maximum size of a request body for later requests.
   void set_largest_body(std::uint64_t bytes);
-  /// How long connections may rest from now on.
+  /// Sets the idle timeout of connections.
   void set_idle_timeout(Duration timeout);
-  /// Stops accepting; connections that are busy go on, and those that the kernel has already taken
-  /// for this server are accepted first: it would reset them with the listener.
+  /// Stops accepting. Busy connections continue. Connections that the kernel has already accepted
+  /// for this server are accepted first, because closing the listener would reset them.
   void stop_accepting();
-  /// Requests of which a byte has been read and whose answer has not wholly been handed to the
-  /// kernel, whoever waits for what meanwhile. Walks the connections.
+  /// Number of requests of which a byte has been read and whose response has not been handed to the
+  /// kernel completely. Iterates over all connections.
   std::size_t requests_in_progress() const;
-  /// Reads the TLS files again; keeps the old identity on failure.
+  /// Reloads the TLS files; keeps the old identity on failure.
   Result<void, HttpError> reload_tls();
 
  private:
--- a/src/http/socket_address.h
+++ b/src/http/socket_address.h
@@ -1,4 +1,4 @@
-// Listening sockets, and base/socket_address.h with the HTTP layer's errors.
+// Listening sockets, and parsing of endpoints with the errors of the HTTP layer.
 #pragma once
 
 #include "base/ids.h"
@@ -8,11 +8,11 @@
 
 namespace ochrespring::http {
 
-/// Reads `127.0.0.1:8080` or `[::1]:8080`; fails with kAddressInvalid, naming the text.
+/// Parses `127.0.0.1:8080` or `[::1]:8080`. Fails with kAddressInvalid; the message names the text.
 Result<SocketAddress, HttpError> parse_endpoint(const Endpoint& endpoint);
 
-/// Opens a listening, non-blocking TCP socket and returns its descriptor. Fails with
-/// kAddressInvalid, or with kAddressInUse when the port is taken.
+/// Opens a listening, non-blocking TCP socket and returns its descriptor. Fails with kAddressInUse
+/// if the port is taken, else with kAddressInvalid.
 Result<int, HttpError> open_listener(const Endpoint& endpoint, bool reuse_port);
 
 }  // namespace ochrespring::http
--- a/src/http/tests/broken_answer_test.cc
+++ b/src/http/tests/broken_answer_test.cc
@@ -1,4 +1,4 @@
-// What a caller finds on the wire when an answer is cut, read byte by byte on a plain socket.
+// Tests the bytes that a caller receives when a response is aborted, read from a plain socket.
 #include <doctest/doctest.h>
 #include <sys/socket.h>
 #include <unistd.h>
@@ -17,7 +17,7 @@
 
 namespace {
 
-/// Sends `request` and reads until the connection ends.
+/// Sends `request` and reads until the connection closes.
 std::string read_raw(const Endpoint& endpoint, const std::string& request) {
   auto address = http::parse_endpoint(endpoint).value();
   const int caller = ::socket(AF_INET, SOCK_STREAM, 0);
@@ -35,7 +35,7 @@
 
 }  // namespace
 
-TEST_CASE("a stream that is cut ends behind its last whole chunk, without bytes of another kind") {
+TEST_CASE("an aborted stream ends after its last complete chunk without further bytes") {
   http::EventLoop loop;
   http::ServerSettings settings;
   settings.listen = Endpoint("127.0.0.1:0");
@@ -58,8 +58,7 @@
   CHECK(received.substr(body + 4) == "7\r\nid: 1\n\n\r\n");
 }
 
-TEST_CASE(
-    "once the close is announced, answers end their connections, and new ones are still taken") {
+TEST_CASE("after announce_close(), responses close their connections and new ones are accepted") {
   http::EventLoop loop;
   http::ServerSettings settings;
   settings.listen = Endpoint("127.0.0.1:0");
@@ -72,7 +71,7 @@
   server.announce_close();
   std::string received;
   std::thread caller([&] {
-    // Reads to the end of the connection: it would not return if the server kept it.
+    // Reads until the connection closes; would not return if the server kept it open.
     received = read_raw(server.bound(), "GET / HTTP/1.1\r\nhost: a\r\n\r\n");
     loop.stop();
   });
--- a/src/http/tests/client_failure_test.cc
+++ b/src/http/tests/client_failure_test.cc
@@ -1,4 +1,4 @@
-// How the client classifies failures, against a peer that misbehaves on plain sockets.
+// Tests how the client classifies failures, against a misbehaving peer on plain sockets.
 #include <doctest/doctest.h>
 #include <sys/socket.h>
 #include <unistd.h>
@@ -16,8 +16,8 @@
 
 namespace {
 
-/// Accepts one connection per script entry on a thread; each entry lists answers to give, one per
-/// request read, before the connection is closed.
+/// Accepts one connection per script entry on a thread. Each entry lists the responses to send, one
+/// per request read, before the connection is closed.
 class ScriptedPeer {
  public:
   explicit ScriptedPeer(std::vector<std::vector<std::string>> script)
@@ -83,7 +83,7 @@
 
 }  // namespace
 
-TEST_CASE("a refused connection is certainly not sent") {
+TEST_CASE("a request on a refused connection is reported as not sent") {
   http::EventLoop loop;
   http::Client client(loop);
   const int listener = http::open_listener(Endpoint("127.0.0.1:0"), false).value();
@@ -95,7 +95,7 @@
   CHECK_FALSE(outcome.failure->sent);
 }
 
-TEST_CASE("an invalid address is certainly not sent") {
+TEST_CASE("a request to an invalid address is reported as not sent") {
   http::EventLoop loop;
   http::Client client(loop);
   const Outcome outcome = fetch(loop, client, get(Endpoint("nowhere")));
@@ -104,7 +104,7 @@
   CHECK_FALSE(outcome.failure->sent);
 }
 
-TEST_CASE("answers whose end is not proven are truncated") {
+TEST_CASE("responses without a confirmed end are reported as truncated") {
   const std::vector<std::string> truncated = {
       "HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nok",
       "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n2\r\nok\r\n",
@@ -123,7 +123,7 @@
   }
 }
 
-TEST_CASE("a new connection closed before the answer is a reset, maybe sent") {
+TEST_CASE("a new connection closed before the response is a reset; bytes may have been sent") {
   http::EventLoop loop;
   http::Client client(loop);
   ScriptedPeer peer({{""}});
@@ -133,7 +133,7 @@
   CHECK(outcome.failure->sent);
 }
 
-TEST_CASE("a reused connection closed before the answer is told apart") {
+TEST_CASE("a reused connection closed before the response is reported as stale") {
   http::EventLoop loop;
   http::Client client(loop);
   ScriptedPeer peer({{kCompleteResponse, ""}});
@@ -144,7 +144,7 @@
   CHECK(outcome.failure->sent);
 }
 
-TEST_CASE("a request that asks for a new connection gets one") {
+TEST_CASE("a request with fresh_connection uses a new connection") {
   http::EventLoop loop;
   http::Client client(loop);
   ScriptedPeer peer({{kCompleteResponse}, {kCompleteResponse}});
@@ -154,7 +154,7 @@
   CHECK(fetch(loop, client, request).body == "ok");
 }
 
-TEST_CASE("an answer that does not come in time may have been sent") {
+TEST_CASE("a request that timed out may have been sent") {
   http::EventLoop loop;
   http::Client client(loop);
   const int listener = http::open_listener(Endpoint("127.0.0.1:0"), false).value();
@@ -167,7 +167,7 @@
   CHECK(outcome.failure->sent);
 }
 
-TEST_CASE("an answer larger than asked for is refused") {
+TEST_CASE("a response larger than the limit is refused") {
   http::EventLoop loop;
   http::Client client(loop);
   ScriptedPeer peer({{kCompleteResponse}});
@@ -184,7 +184,7 @@
   CHECK(failure->error.code == http::HttpErrc::kTooLarge);
 }
 
-TEST_CASE("nothing is sent once the time to send by has passed, or what is not wanted any more") {
+TEST_CASE("nothing is sent after the send deadline or after a withdrawal") {
   http::EventLoop loop;
   http::Client client(loop);
   struct Row {
@@ -213,7 +213,7 @@
   }
 }
 
-TEST_CASE("a client may end while its fetches wait for answers") {
+TEST_CASE("a client may be destroyed while its fetches are running") {
   http::EventLoop loop;
   const int listener = http::open_listener(Endpoint("127.0.0.1:0"), false).value();
   bool done = false;
@@ -229,7 +229,7 @@
   CHECK_FALSE(done);
 }
 
-TEST_CASE("an answer of another request is read over, and the connection is not used again") {
+TEST_CASE("a response to another request is skipped, and the connection is not reused") {
   http::EventLoop loop;
   http::Client client(loop);
   const std::string stray = "HTTP/1.1 200 OK\r\nx-id: other\r\ncontent-length: 5\r\n\r\nstray";
@@ -242,7 +242,7 @@
   CHECK(client.statistics().connections_opened == 2);
 }
 
-TEST_CASE("an orderly close ends an answer without a length only if that was asked for") {
+TEST_CASE("an orderly close ends a response without a length only with close_ends_answer") {
   http::EventLoop loop;
   http::Client client(loop);
   const std::string unframed = "HTTP/1.1 200 OK\r\n\r\nwhole";
@@ -253,7 +253,7 @@
   CHECK(fetch(loop, client, request).body == "whole");
 }
 
-TEST_CASE("bytes behind a whole answer end the connection, not the answer") {
+TEST_CASE("bytes after a complete response close the connection but do not fail the response") {
   http::EventLoop loop;
   http::Client client(loop);
   ScriptedPeer peer({{kCompleteResponse + "surplus"}, {kCompleteResponse}});
@@ -262,7 +262,7 @@
   CHECK(client.statistics().connections_opened == 2);
 }
 
-TEST_CASE("no more idle connections are kept than asked for") {
+TEST_CASE("at most max_idle_connections idle connections are kept") {
   http::EventLoop loop;
   http::Client client(loop);
   ScriptedPeer peer({{kCompleteResponse}, {kCompleteResponse}});
@@ -273,17 +273,17 @@
   CHECK(client.statistics().connections_reused == 0);
 }
 
-TEST_CASE("a probe tells a peer that accepts from one that is gone") {
+TEST_CASE("a probe distinguishes an accepting peer from an unreachable one") {
   http::EventLoop loop;
   http::Client client(loop);
   const auto probe = [&](const Endpoint& endpoint) {
-    std::optional<http::ProbeResult> told;
+    std::optional<http::ProbeResult> received;
     client.probe(endpoint, 300ms, [&](http::ProbeResult result) {
-      told = result;
+      received = result;
       loop.stop();
     });
     loop.run();
-    return told;
+    return received;
   };
   const int listener = http::open_listener(Endpoint("127.0.0.1:0"), false).value();
   const Endpoint endpoint = bound_endpoint(listener);
@@ -291,7 +291,7 @@
   ::close(listener);
   CHECK(probe(endpoint) == http::ProbeResult::kRefused);
   CHECK(probe(Endpoint("no address")) == http::ProbeResult::kRefused);
-  // Somebody accepts, finds nobody behind and closes.
+  // A proxy without a back end accepts the connection and closes it.
   const ScriptedPeer closes(std::vector<std::vector<std::string>>(1));
   CHECK(probe(closes.endpoint()) == http::ProbeResult::kRefused);
 }
--- a/src/http/tests/event_loop_test.cc
+++ b/src/http/tests/event_loop_test.cc
@@ -14,7 +14,7 @@
 using namespace ochrespring;
 using namespace std::chrono_literals;
 
-TEST_CASE("timers run in the order they are due, and a cancelled one never") {
+TEST_CASE("timers run in the order they are due, and cancelled ones do not run") {
   http::EventLoop loop;
   std::vector<int> order;
   loop.schedule_after(2ms, [&] {
@@ -57,7 +57,7 @@
   CHECK(order == std::vector<int>{1, 2});
 }
 
-TEST_CASE("a write to a peer that has closed does not end the process") {
+TEST_CASE("a write to a closed connection does not terminate the process") {
   const http::EventLoop loop;
   int pair[2];
   REQUIRE(::socketpair(AF_UNIX, SOCK_STREAM, 0, pair) == 0);
@@ -66,7 +66,7 @@
   ::close(pair[0]);
 }
 
-TEST_CASE("what came while the process stood still is read before timers that are overdue") {
+TEST_CASE("input that arrived during a stall is read before overdue timers run") {
   http::EventLoop loop;
   int pair[2];
   REQUIRE(::socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK, 0, pair) == 0);
@@ -83,7 +83,7 @@
     order.push_back("timer");
     loop.stop();
   });
-  // The answer comes in time, but nothing runs until the timer is overdue.
+  // The input arrives in time, but the loop is blocked until the timer is overdue.
   loop.post([&] {
     REQUIRE(::write(pair[1], "x", 1) == 1);
     std::this_thread::sleep_for(200ms);
--- a/src/http/tests/server_client_test.cc
+++ b/src/http/tests/server_client_test.cc
@@ -1,4 +1,4 @@
-// The server and the client against each other on real sockets.
+// Tests the server and the client against each other on real sockets.
 #include <doctest/doctest.h>
 
 #include <string>
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// Records what an exchange did and stops the loop at its end.
+/// Records the events of an exchange and stops the loop at its end.
 struct Recorder : http::ResponseObserver {
   explicit Recorder(http::EventLoop& event_loop) : loop(event_loop) {}
   void on_head(const http::ResponseHead& received) override { head = received; }
@@ -73,7 +73,7 @@
   }
 }
 
-TEST_CASE("a whole answer is fetched, and the longest prefix wins") {
+TEST_CASE("a complete response is fetched, and the longest prefix wins") {
   Fixture fixture;
   fixture.server.route("/", [](auto, auto response) { response->respond(404, {}, "no"); });
   fixture.server.route("/echo", [](http::Request request, auto response) {
@@ -99,7 +99,7 @@
   }
 }
 
-TEST_CASE("an empty answer has a proven end and its connection is used again") {
+TEST_CASE("an empty response is complete and its connection is reused") {
   Fixture fixture;
   fixture.server.route("/", [](auto, auto response) { response->respond(200, {}, ""); });
   REQUIRE(fixture.server.listen());
@@ -111,7 +111,7 @@
   }
 }
 
-TEST_CASE("a stream arrives as it is sent and ends proven") {
+TEST_CASE("a stream arrives as it is sent and ends completely") {
   Fixture fixture;
   std::shared_ptr<http::ResponseWriter> writer;
   fixture.server.route("/", [&](auto, auto response) {
@@ -135,7 +135,7 @@
   CHECK(recorder.body == "onetwo");
 }
 
-TEST_CASE("an aborted answer cannot be mistaken for a whole one") {
+TEST_CASE("an aborted response is reported as truncated") {
   for (const bool after_bytes : {false, true}) {
     Fixture fixture;
     std::shared_ptr<http::ResponseWriter> writer;
@@ -163,7 +163,7 @@
   }
 }
 
-TEST_CASE("the server learns that a caller went away before and after the head") {
+TEST_CASE("the server detects a caller that disconnects before or after the head") {
   for (const bool with_head : {false, true}) {
     Fixture fixture;
     std::unique_ptr<http::Exchange> exchange;
@@ -191,7 +191,7 @@
   }
 }
 
-TEST_CASE("back pressure reaches the server when the reader stops") {
+TEST_CASE("the server sees back pressure when the reader stops") {
   constexpr std::size_t kChunk = 1U << 20U;
   constexpr std::size_t kChunks = 64;
   Fixture fixture;
@@ -222,7 +222,7 @@
       return;
     }
     exchange->set_reading(false);
-    // Time enough for the server to fill the sockets' buffers.
+    // Leaves the server enough time to fill the socket buffers.
     fixture.loop.schedule_after(50ms, [&] {
       sent_while_paused = sent;
       exchange->set_reading(true);
@@ -249,7 +249,7 @@
   fixture.loop.run();
 }
 
-TEST_CASE("a taken port is reported as such") {
+TEST_CASE("a port in use is reported as kAddressInUse") {
   Fixture fixture;
   REQUIRE(fixture.server.listen());
   http::ServerSettings settings;
--- a/src/http/tls.h
+++ b/src/http/tls.h
@@ -15,11 +15,12 @@
   void operator()(SSL_CTX* context) const { SSL_CTX_free(context); }
 };
 
-/// Reference-counted by OpenSSL: connections keep the context they began with.
+/// Reference-counted by OpenSSL: connections keep the context they were opened with.
 using TlsContext = std::unique_ptr<SSL_CTX, TlsContextDeleter>;
 
-/// Reads a server's identity. Fails with kTlsInvalid, naming the file and the reason: unreadable,
-/// key and certificate that do not match, expired or not yet valid.
+/// Loads a server's identity. Fails with kTlsInvalid if a file is unreadable, the key does not
+/// match the certificate, or the certificate is expired or not yet valid. The message names the
+/// file and the reason.
 Result<TlsContext, HttpError> load_server_tls(const TlsFiles& files);
 
 }  // namespace ochrespring::http
