--- a/src/base/hash.cc
+++ b/src/base/hash.cc
@@ -15,7 +15,7 @@
   struct FreeState {
     void operator()(XXH3_state_t* state) const { XXH3_freeState(state); }
   };
-  // Of half a kilobyte: made once for each thread.
+  // The state takes half a kilobyte, so it is allocated once per thread.
   thread_local const std::unique_ptr<XXH3_state_t, FreeState> state(XXH3_createState());
   XXH3_128bits_reset(state.get());
   for (const std::string_view text : texts) {
--- a/src/base/hash.h
+++ b/src/base/hash.h
@@ -7,7 +7,7 @@
 
 namespace ochrespring {
 
-/// Hash of bytes under a seed.
+/// Hashes bytes with a seed.
 std::uint64_t stable_hash(std::string_view bytes, std::uint64_t seed = 0);
 
 struct Hash128 {
@@ -15,13 +15,14 @@
   std::uint64_t low = 0;
 };
 
-/// Hash (XXH3) of several texts in order, each with its length: "ab", "c" and "a", "bc" differ.
+/// Hashes (XXH3) several texts in order, each with its length: ("ab", "c") and ("a", "bc") differ.
 Hash128 stable_hash_128(std::initializer_list<std::string_view> texts);
 
 /// Combines two hashes into one; the order matters.
 std::uint64_t combine_hashes(std::uint64_t first, std::uint64_t second);
 
-/// Weight of `member` for `key` in rendezvous hashing: the members of highest weight own the key.
+/// Weight of `member` for `key` in rendezvous hashing; the members with the highest weights own the
+/// key.
 std::uint64_t rendezvous_weight(std::string_view key, std::string_view member);
 
 }  // namespace ochrespring
--- a/src/base/random.h
+++ b/src/base/random.h
@@ -1,4 +1,4 @@
-// Random numbers, injected so that every run can be repeated from its seed.
+// Random number sources, injected so that every run can be reproduced from its seed.
 #pragma once
 
 #include <cstdint>
@@ -8,7 +8,7 @@
 
 namespace ochrespring {
 
-/// Source of random numbers. Not thread-safe: one per event loop.
+/// Source of random numbers. Not thread-safe: each event loop has its own.
 class RandomSource {
  public:
   virtual ~RandomSource() = default;
@@ -23,13 +23,13 @@
   double exponential(double mean);
   /// True with the given probability.
   bool chance(double probability);
-  /// A uniform part of `span`: those that wait so long come apart.
+  /// Uniform duration in [0, span), to spread events that would otherwise coincide.
   Duration part_of(Duration span);
   /// `span` scaled by a uniform factor in [1 - fraction, 1 + fraction].
   Duration jitter(Duration span, double fraction);
 };
 
-/// Mersenne Twister under a fixed seed.
+/// Mersenne Twister with a fixed seed.
 class SeededRandom final : public RandomSource {
  public:
   explicit SeededRandom(std::uint64_t seed) : engine_(seed) {}
@@ -39,8 +39,8 @@
   std::mt19937_64 engine_;
 };
 
-/// Seed drawn from the operating system, for production use. Asked of the system, not of the
-/// processor: where the system is simulated, one play is the same twice.
+/// Seed from the operating system, for production use. Not taken from a CPU instruction, so that
+/// runs are reproducible where the operating system is simulated.
 std::uint64_t entropy_seed();
 
 }  // namespace ochrespring
--- a/src/base/result.h
+++ b/src/base/result.h
@@ -1,5 +1,5 @@
-// Results and errors. Each layer defines its own error code enumeration and converts the errors of
-// the layer below at its boundary.
+// Results and errors. Each layer defines its own error codes and converts the errors of the layer
+// below at its boundary.
 #pragma once
 
 #include <boost/outcome.hpp>
@@ -10,19 +10,19 @@
 
 namespace outcome = BOOST_OUTCOME_V2_NAMESPACE;
 
-/// A value of type T, or an error of type E. Reading the wrong side terminates the program.
-/// Propagate with BOOST_OUTCOME_TRY.
+/// A value of type T or an error of type E. Accessing the absent one terminates the program.
+/// Propagate errors with BOOST_OUTCOME_TRY.
 template <class T, class E>
 using Result = outcome::basic_result<T, E, outcome::policy::terminate>;
 
-/// Error of one layer: a stable code and a message for people.
+/// Error of one layer: a stable code and a human-readable message.
 template <class Code>
 struct LayerError {
   Code code{};
   std::string message;
 };
 
-/// Failure side of a Result, for `return fail(FleetErrc::kUnknownService, "...")`.
+/// Makes the failure of a Result, for `return fail(FleetErrc::kUnknownService, "...")`.
 template <class Code>
 auto fail(Code code, std::string message) {
   return outcome::failure(LayerError<Code>{code, std::move(message)});
--- a/src/base/socket_address.h
+++ b/src/base/socket_address.h
@@ -1,5 +1,5 @@
-// Endpoints as the operating system's socket addresses. Endpoints are IP numbers and ports; names
-// are not resolved.
+// Conversion between endpoints and the socket addresses of the operating system. Endpoints are IP
+// addresses with ports; host names are not resolved.
 #pragma once
 
 #include <netinet/in.h>
@@ -11,7 +11,7 @@
 
 namespace ochrespring {
 
-/// Address of an IPv4 or IPv6 socket.
+/// IPv4 or IPv6 socket address.
 struct SocketAddress {
   sockaddr_storage storage{};
   socklen_t length = 0;
@@ -20,13 +20,13 @@
   const sockaddr* get() const { return reinterpret_cast<const sockaddr*>(&storage); }
 };
 
-/// Reads `127.0.0.1:8080` or `[::1]:8080`; none if it is neither.
+/// Parses `127.0.0.1:8080` or `[::1]:8080`; empty if the text is neither.
 std::optional<SocketAddress> parse_endpoint(const Endpoint& endpoint);
 
-/// Text of a socket address; empty for families other than IPv4 and IPv6.
+/// Formats a socket address; empty for families other than IPv4 and IPv6.
 Endpoint format_endpoint(const sockaddr* address);
 
-/// Address a socket is bound to; empty on failure.
+/// Returns the address that a socket is bound to; empty on failure.
 Endpoint bound_endpoint(int socket);
 
 }  // namespace ochrespring
--- a/src/base/strong_type.h
+++ b/src/base/strong_type.h
@@ -1,4 +1,5 @@
-// Distinct types over strings and integers, so that a zone is never passed for a server.
+// Distinct types over strings and integers, so that, for example, a zone cannot be passed as a
+// server.
 #pragma once
 
 #include <compare>
@@ -10,7 +11,7 @@
 
 namespace ochrespring {
 
-/// Name of one kind of thing, told apart by `Tag`.
+/// String type distinguished by `Tag`.
 template <class Tag>
 class StrongString {
  public:
@@ -37,7 +38,7 @@
   std::string value_;
 };
 
-/// Number of one kind, told apart by `Tag`.
+/// Integer type distinguished by `Tag`.
 template <class Tag, class Rep = std::uint64_t>
 class StrongNumber {
  public:
@@ -45,7 +46,7 @@
   constexpr explicit StrongNumber(Rep value) : value_(value) {}
 
   constexpr Rep value() const { return value_; }
-  /// The number after this one.
+  /// Returns the successor of this number.
   constexpr StrongNumber next() const { return StrongNumber(value_ + 1); }
 
   constexpr auto operator<=>(const StrongNumber&) const = default;
--- a/src/base/tests/random_test.cc
+++ b/src/base/tests/random_test.cc
@@ -23,7 +23,7 @@
   CHECK(seen == 0b11111U);
 }
 
-TEST_CASE("exponential() has the asked mean") {
+TEST_CASE("exponential() has the given mean") {
   SeededRandom random(3);
   double sum = 0;
   constexpr int kDraws = 200000;
--- a/src/base/tests/socket_address_test.cc
+++ b/src/base/tests/socket_address_test.cc
@@ -4,7 +4,7 @@
 
 namespace ochrespring {
 
-TEST_CASE("endpoints survive the way to a socket address and back") {
+TEST_CASE("endpoints round-trip through socket addresses") {
   for (const char* text : {"127.0.0.1:8080", "0.0.0.0:0", "[::1]:443", "[fe80::1]:65535"}) {
     const auto address = parse_endpoint(Endpoint(text));
     REQUIRE(address.has_value());
@@ -12,7 +12,7 @@
   }
 }
 
-TEST_CASE("text that is not an IP number and a port is refused") {
+TEST_CASE("text that is not an IP address and a port is rejected") {
   for (const char* text : {"", "localhost:80", "127.0.0.1", "127.0.0.1:", "127.0.0.1:65536",
                            "127.0.0.1:8x", "::1:80", "[::1]", "[127.0.0.1]:80"}) {
     CAPTURE(text);
--- a/src/base/time.cc
+++ b/src/base/time.cc
@@ -4,8 +4,8 @@
 
 namespace ochrespring {
 
-/// Not the steady clock, which stands still while a machine is suspended: a lease would not end, a
-/// view not age, a deadline not pass for the time that the rest of the world has lived through.
+/// Uses CLOCK_BOOTTIME instead of the steady clock, which stops while the machine is suspended:
+/// leases, cached views and deadlines would then not account for the time that passed elsewhere.
 MonotonicTime SystemClock::now() const {
   timespec time{};
   ::clock_gettime(CLOCK_BOOTTIME, &time);
--- a/src/base/time.h
+++ b/src/base/time.h
@@ -1,4 +1,4 @@
-// Time as every subsystem sees it: a monotonic clock for deadlines, a wall clock for logs only.
+// Time types and clocks: a monotonic clock for deadlines, a wall clock for logs only.
 #pragma once
 
 #include <chrono>
@@ -6,10 +6,10 @@
 
 namespace ochrespring {
 
-/// Span of time in nanoseconds.
+/// Time span in nanoseconds.
 using Duration = std::chrono::nanoseconds;
 
-/// Marks time points of the local monotonic clock; never compared between machines.
+/// Clock tag of monotonic time points, which must not be compared between machines.
 struct MonotonicDomain {
   using duration = Duration;
   using rep = duration::rep;
@@ -18,38 +18,38 @@
   static constexpr bool is_steady = true;
 };
 
-/// Point on one machine's monotonic clock.
+/// Time point of one machine's monotonic clock.
 using MonotonicTime = std::chrono::time_point<MonotonicDomain, Duration>;
 
-/// Point on the wall clock; for display, never for a safety decision.
+/// Time point of the wall clock; for display, never for a safety decision.
 using WallTime = std::chrono::time_point<std::chrono::system_clock, Duration>;
 
 /// Source of time, injected so that simulation can replace it. Implementations are thread-safe.
 class Clock {
  public:
   virtual ~Clock() = default;
-  /// Current monotonic time of this machine. Goes on while the machine is suspended.
+  /// Current monotonic time of this machine. Continues while the machine is suspended.
   virtual MonotonicTime now() const = 0;
   /// Current wall time of this machine.
   virtual WallTime wall_now() const = 0;
 };
 
-/// The machine's own clocks. The only place that reads them.
+/// The clocks of the machine. No other code reads them.
 class SystemClock final : public Clock {
  public:
   MonotonicTime now() const override;
   WallTime wall_now() const override;
 };
 
-/// The one that whoever has no clock of its own goes by.
+/// Shared instance for code that is not given a clock.
 const SystemClock& system_clock();
 
-/// Converts a span to seconds for reports.
+/// Converts a time span to seconds, for reports.
 constexpr double to_seconds(Duration span) {
   return std::chrono::duration<double>(span).count();
 }
 
-/// Converts seconds to a span, rounding towards zero.
+/// Converts seconds to a time span, rounding towards zero.
 constexpr Duration from_seconds(double seconds) {
   return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds));
 }
--- a/src/base/timer.h
+++ b/src/base/timer.h
@@ -1,5 +1,4 @@
-// Timers as components use them: one service per event loop, and a one-shot timer that owns its
-// registration.
+// Timer interfaces: one service per event loop, and a one-shot timer that owns its registration.
 #pragma once
 
 #include <cstdint>
@@ -14,13 +13,13 @@
 /// Identifies one scheduled callback within its TimerService.
 using TimerId = std::uint64_t;
 
-/// Runs callbacks later on the same event loop. Not thread-safe: called on the loop that owns it.
+/// Runs callbacks later on the same event loop. Not thread-safe: must be called on that loop.
 class TimerService {
  public:
   virtual ~TimerService() = default;
   /// Runs `callback` once, not earlier than `delay` from now.
   virtual TimerId schedule_after(Duration delay, std::function<void()> callback) = 0;
-  /// Forgets a callback; harmless if it has already run.
+  /// Cancels a callback; has no effect if it has already run.
   virtual void cancel(TimerId timer) = 0;
 };
 
@@ -35,7 +34,7 @@
   Timer(const Timer&) = delete;
   Timer& operator=(const Timer&) = delete;
 
-  /// Replaces whatever was scheduled.
+  /// Schedules `callback` and cancels any earlier one.
   void arm(Duration delay, std::function<void()> callback) {
     disarm();
     timer_ = service_.schedule_after(delay, [this, run = std::move(callback)] {
@@ -44,7 +43,7 @@
     });
   }
 
-  /// Forgets what was scheduled.
+  /// Cancels the scheduled callback, if any.
   void disarm() {
     if (timer_) {
       service_.cancel(*timer_);
--- a/src/logging/bounded_logger.cc
+++ b/src/logging/bounded_logger.cc
@@ -21,8 +21,10 @@
     return;
   }
   if (unreported_ != 0) {
-    next_.write(
-        {Level::kWarning, "logging", "lines left out", {{"lines", std::exchange(unreported_, 0)}}});
+    next_.write({Level::kWarning,
+                 "logging",
+                 "log lines dropped",
+                 {{"lines", std::exchange(unreported_, 0)}}});
   }
   allowance_ -= 1;
   next_.write(record);
--- a/src/logging/bounded_logger.h
+++ b/src/logging/bounded_logger.h
@@ -1,4 +1,4 @@
-// Bounds how much is logged, so that a storm of requests does not become a storm of lines.
+// Limits the rate of log lines, so that a burst of requests does not cause a burst of lines.
 #pragma once
 
 #include <cstdint>
@@ -10,11 +10,11 @@
 
 struct LogBounds {
   double lines_per_second = 400;
-  double burst = 2000;  ///< Lines that may come at once.
+  double burst = 2000;  ///< Maximum number of lines at once.
 };
 
-/// Passes records on while the bound allows; warnings and errors may use a reserve of their own.
-/// Tells how many lines were left out as soon as lines pass again. Not thread-safe: one loop.
+/// Forwards records within the rate limit; a part of the burst is reserved for warnings and errors.
+/// Once lines pass again, logs how many were dropped. Not thread-safe: one loop.
 class BoundedLogger final : public Logger {
  public:
   BoundedLogger(Logger& next, const Clock& clock, LogBounds bounds = {});
@@ -23,7 +23,7 @@
   std::uint64_t dropped() const { return dropped_; }
 
  private:
-  /// Part of the burst that only warnings and errors may use.
+  /// Fraction of the burst reserved for warnings and errors.
   static constexpr double kWarningReserve = 0.1;
 
   void refill();
@@ -34,7 +34,7 @@
   double allowance_;
   MonotonicTime filled_at_;
   std::uint64_t dropped_ = 0;
-  std::uint64_t unreported_ = 0;  ///< Dropped since the last line that told of it.
+  std::uint64_t unreported_ = 0;  ///< Dropped since the last line that reported drops.
 };
 
 }  // namespace ochrespring::logging
--- a/src/logging/glog_logger.cc
+++ b/src/logging/glog_logger.cc
@@ -67,7 +67,7 @@
   return false;
 }
 
-/// Writes each line with one call that never may_block.
+/// Writes each line with one non-blocking call.
 class GlogLogger::Sink final : public google::LogSink {
  public:
   explicit Sink(int descriptor) : descriptor_(descriptor) {
@@ -84,7 +84,7 @@
             std::size_t size) override {
     std::string text(message, size);
     text += '\n';
-    // A line that is not taken is lost: logging must not hold up requests.
+    // A line that cannot be written is dropped: logging must not block requests.
     static_cast<void>(!::write(descriptor_, text.data(), text.size()));
   }
 
@@ -99,7 +99,7 @@
       sink_(std::make_unique<Sink>(output == LogOutput::kStandardOutput ? STDOUT_FILENO
                                                                         : STDERR_FILENO)) {
   FLAGS_logtostderr = true;
-  // The record carries time and level itself.
+  // The record contains the time and level itself.
   FLAGS_log_prefix = false;
   google::InitGoogleLogging(program.c_str());
 }
--- a/src/logging/glog_logger.h
+++ b/src/logging/glog_logger.h
@@ -10,18 +10,19 @@
 
 namespace ochrespring::logging {
 
-/// One JSON object without a line end: time, level, component, message, then the record's fields.
-/// Bytes that are not UTF-8 are replaced.
+/// Formats a record as one JSON object without a line end: time, level, component, message, then
+/// the fields of the record. Invalid UTF-8 is replaced.
 std::string render_json(const Record& record, WallTime time);
 
-/// Level from its name (`debug`, `info`, `warning`, `error`); returns false for any other name.
+/// Parses a level name (`debug`, `info`, `warning`, `error`); returns false for any other name.
 bool parse_level(std::string_view name, Level& level);
 
-/// Where lines go; machines keep no disk.
+/// Output of log lines. Machines have no disk, so there are no log files.
 enum class LogOutput : std::uint8_t { kStandardError, kStandardOutput };
 
-/// Logger over glog, which the process's single instance initialises. Records below `least` are
-/// dropped. A line that a pipe does not take at once is lost rather than waited for.
+/// Logger on glog, which is initialized by the only instance in the process. Records below
+/// `min_level` are dropped. A line that a pipe cannot accept immediately is dropped instead of
+/// blocking.
 class GlogLogger final : public Logger {
  public:
   GlogLogger(const std::string& program, Level min_level, const Clock& clock,
--- a/src/logging/logger.h
+++ b/src/logging/logger.h
@@ -1,4 +1,5 @@
-// Structured logging. Components are given a Logger; the node's writes JSON lines through glog.
+// Structured logging. Components are given a Logger; the one of a node writes JSON lines through
+// glog.
 #pragma once
 
 #include <cstdint>
@@ -15,25 +16,25 @@
 
 /// One named value of a log record.
 struct Field {
-  std::string_view name;  ///< A literal, such as "request_id", "revision", "epoch".
+  std::string_view name;  ///< String literal, such as "request_id", "revision", "epoch".
   std::variant<std::string, std::int64_t, std::uint64_t, double, bool> value;
 };
 
 struct Record {
   Level level = Level::kInfo;
-  std::string_view component;  ///< A literal: the subsystem's directory name.
+  std::string_view component;  ///< String literal: the directory name of the subsystem.
   std::string message;
   std::vector<Field> fields;
 };
 
-/// Takes log records. Implementations are thread-safe and never block for long.
+/// Receives log records. Implementations are thread-safe and never block for long.
 class Logger {
  public:
   virtual ~Logger() = default;
   virtual void write(const Record& record) = 0;
 };
 
-/// Drops everything; for tests and hollow nodes.
+/// Discards all records; for tests and nodes without logging.
 class NullLogger final : public Logger {
  public:
   void write(const Record& /*record*/) override {}
--- a/src/logging/tests/bounded_logger_test.cc
+++ b/src/logging/tests/bounded_logger_test.cc
@@ -1,4 +1,4 @@
-// Bounds of logging under load.
+// Tests the log rate limit.
 #include "logging/bounded_logger.h"
 
 #include <doctest/doctest.h>
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-TEST_CASE("a storm of lines is cut to the bound, and what was left out is told") {
+TEST_CASE("lines beyond the rate limit are dropped, and the number dropped is logged") {
   simulation::VirtualTime time;
   CountingLogger lines;
   BoundedLogger logger(lines, time, {10, 20});
--- a/src/logging/tests/glog_logger_test.cc
+++ b/src/logging/tests/glog_logger_test.cc
@@ -6,7 +6,7 @@
 
 namespace ochrespring::logging {
 
-TEST_CASE("a record becomes one JSON object with its fields typed") {
+TEST_CASE("a record is written as one JSON object with typed fields") {
   const Record record{Level::kWarning,
                       "authority",
                       "lease \"lost\"\n",
@@ -22,12 +22,12 @@
   CHECK(parsed["request_id"] == "r-1");
 }
 
-TEST_CASE("bytes that are not UTF-8 do not break the line") {
+TEST_CASE("invalid UTF-8 still gives valid JSON") {
   const Record record{Level::kInfo, "proxy", "bad \xff byte", {}};
   CHECK(nlohmann::json::accept(render_json(record, WallTime{})));
 }
 
-TEST_CASE("levels are read by name") {
+TEST_CASE("levels are parsed by name") {
   Level level = Level::kInfo;
   CHECK(parse_level("error", level));
   CHECK(level == Level::kError);
--- a/src/metrics/counter_table.h
+++ b/src/metrics/counter_table.h
@@ -1,4 +1,4 @@
-// Tables of counters: what a component counts in a plain struct, by the names of its metrics.
+// Tables that map the counters in a plain struct to metrics.
 #pragma once
 
 #include <cstddef>
@@ -8,7 +8,7 @@
 
 namespace ochrespring::metrics {
 
-/// One counter: its metric, and where it stands.
+/// One counter: its metric name and help text, and its struct member.
 template <class Statistics>
 struct CounterRow {
   const char* name;
--- a/src/metrics/metrics.h
+++ b/src/metrics/metrics.h
@@ -1,5 +1,5 @@
-// Metrics in Prometheus' text format. Components keep plain counters; collectors read them when
-// /metrics is asked, so that counting costs nothing more than an increment.
+// Metrics in Prometheus text format. Components keep plain counters, which collectors read when
+// /metrics is requested, so that counting costs only an increment.
 #pragma once
 
 #include <prometheus/metric_family.h>
@@ -18,20 +18,20 @@
   std::string value;
 };
 
-/// Name and help text of one metric; names carry the unit, such as `_bytes` or `_seconds`.
+/// Name and help text of a metric. Names contain the unit, such as `_bytes` or `_seconds`.
 struct MetricName {
   std::string name;  ///< Without the `ochrespring_` prefix.
   std::string help;
 };
 
-/// Receives samples during one scrape.
+/// Collects the samples of one scrape.
 class SampleSink {
  public:
-  /// A value that only grows; `_total` is appended to the name.
+  /// Adds a monotonically increasing value; `_total` is appended to the name.
   void counter(const MetricName& metric, double value, std::vector<Label> labels = {});
-  /// A value that goes up and down.
+  /// Adds a value that may increase and decrease.
   void gauge(const MetricName& metric, double value, std::vector<Label> labels = {});
-  /// All families received, ordered by name.
+  /// Returns all collected families, ordered by name.
   std::vector<prometheus::MetricFamily> take();
 
  private:
@@ -41,14 +41,14 @@
   std::map<std::string, prometheus::MetricFamily> families_;
 };
 
-/// Reads one component's statistics into the sink.
+/// Reads the statistics of one component into the sink.
 using Collector = std::function<void(SampleSink& sink)>;
 
-/// Collectors of one process. Not thread-safe: used on the control loop.
+/// The collectors of a process. Not thread-safe: used on the control loop.
 class MetricsRegistry {
  public:
   void add(Collector collector) { collectors_.push_back(std::move(collector)); }
-  /// Body of an answer to GET /metrics.
+  /// Body of the response to GET /metrics.
   std::string render() const;
 
  private:
--- a/src/process/file_watcher.h
+++ b/src/process/file_watcher.h
@@ -1,4 +1,4 @@
-// Notices that a file has changed, where the system offers no notification.
+// Detects changes of a file by polling, for file systems without change notification.
 #pragma once
 
 #include <functional>
@@ -9,8 +9,8 @@
 
 namespace ochrespring::process {
 
-/// Looks at a file's time and size at fixed periods; a file that cannot be read counts as
-/// unchanged. One loop.
+/// Polls the modification time and size of a file. An unreadable file counts as unchanged. Runs on
+/// one loop.
 class FileWatcher {
  public:
   static constexpr Duration kPeriod{std::chrono::seconds(2)};
--- a/src/process/signals.cc
+++ b/src/process/signals.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Ends the watcher's own thread.
+/// Terminates the thread of the watcher.
 constexpr int kWakeSignal = SIGUSR1;
 
 sigset_t watched_signals() {
--- a/src/process/signals.h
+++ b/src/process/signals.h
@@ -1,4 +1,4 @@
-// Signals of the process, taken on a thread of their own and handed to a handler.
+// Handles process signals on a dedicated thread.
 #pragma once
 
 #include <functional>
@@ -6,17 +6,18 @@
 
 namespace ochrespring::process {
 
-/// What an operator or the platform asks by a signal.
+/// Request that an operator or the platform makes by a signal.
 enum class ProcessSignal {
   kStop,    ///< SIGTERM or SIGINT.
-  kReload,  ///< SIGHUP: read the certificates again.
+  kReload,  ///< SIGHUP: reload the certificates.
 };
 
-/// Blocks the signals SignalWatcher takes. To be called before any thread starts; also makes
-/// writes to closed connections fail instead of ending the process.
+/// Blocks the signals that SignalWatcher handles. Must be called before any thread starts. Also
+/// ignores SIGPIPE, so that writing to a closed connection fails instead of terminating the
+/// process.
 void block_signals();
 
-/// Waits for signals from construction to destruction.
+/// Handles signals from construction to destruction.
 class SignalWatcher {
  public:
   /// `handler` is called on the watcher's thread.
--- a/src/process/tests/file_watcher_test.cc
+++ b/src/process/tests/file_watcher_test.cc
@@ -11,7 +11,7 @@
 using namespace ochrespring;
 using namespace std::chrono_literals;
 
-TEST_CASE("a changed file is noticed once, a missing one not at all") {
+TEST_CASE("a change is reported once, and a missing file not at all") {
   const std::string path = "/tmp/ochrespring-file-watcher-" + std::to_string(::getpid());
   std::ofstream(path) << "a";
   simulation::VirtualTime time;
--- a/src/settings/app_runner.cc
+++ b/src/settings/app_runner.cc
@@ -10,7 +10,7 @@
 Result<std::optional<std::string>, Errors> run_app(CLI::App& app,
                                                    std::vector<std::string> arguments,
                                                    const std::string& version) {
-  // CLI11 takes arguments from the end.
+  // CLI11 expects the arguments in reverse order.
   std::reverse(arguments.begin(), arguments.end());
   try {
     app.parse(std::move(arguments));
--- a/src/settings/app_runner.h
+++ b/src/settings/app_runner.h
@@ -1,4 +1,4 @@
-// Runs a CLI11 parser and turns its exceptions into this layer's errors.
+// Runs a CLI11 parser and converts its exceptions to settings errors.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -10,8 +10,8 @@
 
 namespace ochrespring::settings {
 
-/// Parses arguments in their order. The result holds a text to print if help or the version was
-/// asked for, and nothing otherwise.
+/// Parses arguments in order. The result is the text to print if help or the version was requested,
+/// and empty otherwise.
 Result<std::optional<std::string>, std::vector<SettingsError>> run_app(
     CLI::App& app, std::vector<std::string> arguments, const std::string& version);
 
--- a/src/settings/node_settings.cc
+++ b/src/settings/node_settings.cc
@@ -16,7 +16,7 @@
 
 using Errors = std::vector<SettingsError>;
 
-/// Texts given for each key, before any check.
+/// Values given for each key, before validation.
 using GivenTexts = std::map<std::string, std::vector<std::string>>;
 
 std::string describe(const SettingSpecification& specification) {
@@ -53,9 +53,9 @@
   }
   const auto need = [&](const std::string& key, const std::string& value) {
     if (value.empty()) {
-      errors.push_back(
-          {SettingsErrc::kMissing,
-           prefix + "-tls-" + key + ": not usable; the other " + prefix + "-tls settings need it"});
+      errors.push_back({SettingsErrc::kMissing, prefix + "-tls-" + key +
+                                                    ": missing or unusable; the other " + prefix +
+                                                    "-tls settings require it"});
     }
   };
   need("certificate", tls->certificate);
@@ -65,14 +65,14 @@
   }
 }
 
-/// Names that are neither flags nor keys. Values that follow them are left out.
+/// Reports names that are neither flags nor keys. The values that follow them are skipped.
 void report_unknown(const std::vector<std::string>& remaining, Errors& errors) {
   for (const std::string& item : remaining) {
-    errors.push_back({SettingsErrc::kUnknownKey, "'" + item + "' is no setting; see --help"});
+    errors.push_back({SettingsErrc::kUnknownKey, "unknown setting '" + item + "'; see --help"});
   }
 }
 
-/// The program's flags, all taken as text so that every mistake can be reported.
+/// The flags of the program, all parsed as text so that every error can be reported.
 class CommandLineParser {
  public:
   CommandLineParser() : table_(make_setting_table()) {
--- a/src/settings/node_settings.h
+++ b/src/settings/node_settings.h
@@ -1,4 +1,4 @@
-// Settings of one node: the same names serve as flags and as keys of the settings file.
+// Settings of a node. The same names serve as flags and as keys of the settings file.
 #pragma once
 
 #include <cstdint>
@@ -12,30 +12,31 @@
 
 namespace ochrespring::settings {
 
-/// PEM files that turn TLS on for one kind of traffic.
+/// PEM files that enable TLS for one kind of traffic.
 struct TlsSettings {
   std::string certificate;
   std::string key;
-  std::string authority;  ///< Empty: peers need no certificate (callers and operators only).
+  /// Empty: the other side needs no certificate (callers and operators only).
+  std::string authority;
 };
 
-/// Everything a node is told at start; nothing here changes while it runs.
+/// All start-up settings of a node; they do not change while it runs.
 struct NodeSettings {
   NodeId node;
   std::string cluster = "ochrespring";
   ZoneName zone;
   RegionName region;
-  Endpoint listen;           ///< Callers' HTTP.
-  Endpoint operator_listen;  ///< Operators' RPC.
-  Endpoint admin_listen;     ///< /metrics, /healthz, /readyz.
-  Endpoint peer_listen;      ///< Other nodes.
-  Endpoint peer_advertise;   ///< Where other nodes reach this one; empty: the address bound.
+  Endpoint listen;           ///< Address for callers' HTTP.
+  Endpoint operator_listen;  ///< Address for operators' RPC.
+  Endpoint admin_listen;     ///< Address for /metrics, /healthz and /readyz.
+  Endpoint peer_listen;      ///< Address for other nodes.
+  Endpoint peer_advertise;   ///< Address that other nodes use; empty: the bound address.
   std::vector<Endpoint> seeds;
   Endpoint key_value_store;
   Endpoint machine_list;
   std::uint32_t proxy_loops = 1;
   std::uint64_t largest_body_bytes = 0;
-  std::uint64_t peer_queue_bytes = 0;  ///< Per peer.
+  std::uint64_t peer_queue_bytes = 0;  ///< Maximum per peer.
   std::optional<TlsSettings> caller_tls;
   std::optional<TlsSettings> operator_tls;
   std::optional<TlsSettings> peer_tls;
@@ -50,14 +51,14 @@
   kSyntax,  ///< The command line or the file cannot be parsed.
 };
 
-/// One mistake; the message names the key, the value and what is allowed.
+/// One invalid setting; the message names the key, the value and what is allowed.
 using SettingsError = LayerError<SettingsErrc>;
 
-/// What the command line asks for.
+/// Action that the command line requests.
 enum class Command : std::uint8_t {
   kRun,
-  kCheck,  ///< --check: settings were validated; exit.
-  kHelp,   ///< --help or --version; print `text` and exit.
+  kCheck,  ///< --check: the settings are valid; exit.
+  kHelp,   ///< --help or --version: print `text` and exit.
 };
 
 struct ParsedCommandLine {
@@ -66,8 +67,9 @@
   std::string text;
 };
 
-/// Reads flags and the file named by --config; flags win. Reports every mistake, not the first
-/// alone. Relates to this process only: certificates are read by whoever uses them.
+/// Parses flags and the file named by --config; flags take precedence. Reports all errors, not only
+/// the first. Checks only what concerns this process: certificates are loaded by the code that uses
+/// them.
 Result<ParsedCommandLine, std::vector<SettingsError>> parse_command_line(
     const std::vector<std::string>& arguments);
 
--- a/src/settings/setting_checks.h
+++ b/src/settings/setting_checks.h
@@ -1,5 +1,5 @@
-// Checks of single setting values. Each returns whether the text is allowed and stores the value.
-// Private to src/settings.
+// Validation of single setting values. Each function returns whether the text is valid and stores
+// the value. Private to src/settings.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +10,7 @@
 
 namespace ochrespring::settings {
 
-/// Range of a whole number and how it is described to people.
+/// Range of an integer, with a human-readable description.
 struct NumberRange {
   std::uint64_t min = 0;
   std::uint64_t max = 0;
@@ -22,17 +22,17 @@
 inline constexpr const char* kNameRule =
     "1 to 63 of a-z, 0-9, '-' and '.', a letter or digit first";
 inline constexpr const char* kEndpointRule =
-    "an IP number and a port, such as 127.0.0.1:8080 or [::1]:0";
+    "an IP address and a port, such as 127.0.0.1:8080 or [::1]:0";
 inline constexpr const char* kPeerEndpointRule =
-    "an IP number and a port from 1 to 65535, such as 10.0.0.7:7000";
+    "an IP address and a port from 1 to 65535, such as 10.0.0.7:7000";
 inline constexpr const char* kLevelRule = "debug, info, warning or error";
-inline constexpr const char* kFileRule = "the path of a file that can be read";
+inline constexpr const char* kFileRule = "the path of a readable file";
 
 bool read_name(const std::string& text, std::string& value);
 bool read_number(const std::string& text, const NumberRange& range, std::uint64_t& value);
-/// Port 0 is allowed.
+/// Accepts port 0.
 bool read_listen_endpoint(const std::string& text, Endpoint& value);
-/// Port 0 is not allowed.
+/// Rejects port 0.
 bool read_remote_endpoint(const std::string& text, Endpoint& value);
 bool read_level(const std::string& text, logging::Level& value);
 bool read_file_name(const std::string& text, std::string& value);
--- a/src/settings/setting_table.cc
+++ b/src/settings/setting_table.cc
@@ -14,7 +14,7 @@
 
 using Store = std::function<bool(const std::string&, NodeSettings&)>;
 
-/// Stores a name into a strongly typed member.
+/// Stores a name in a strongly typed member.
 template <class Name>
 Store store_name(Name NodeSettings::*member) {
   return [member](const std::string& text, NodeSettings& settings) {
@@ -90,8 +90,8 @@
       required("zone", "Zone this node is in", kNameRule, store_name(&NodeSettings::zone)));
   table.push_back(optional("region", "Region this node is in", kNameRule, "region-1",
                            store_name(&NodeSettings::region)));
-  table.push_back(optional("cluster", "Nodes talk only to nodes of the same cluster", kNameRule,
-                           "ochrespring", store_name(&NodeSettings::cluster)));
+  table.push_back(optional("cluster", "Cluster of this node; nodes communicate only within it",
+                           kNameRule, "ochrespring", store_name(&NodeSettings::cluster)));
 }
 
 void add_addresses(std::vector<SettingSpecification>& table) {
@@ -105,7 +105,7 @@
   table.push_back(optional("peer-listen", "Address for other nodes", kEndpointRule, "127.0.0.1:0",
                            store_listen(&NodeSettings::peer_listen)));
   table.push_back(optional("peer-advertise",
-                           "Address other nodes use; the one bound when not given",
+                           "Address that other nodes use; default: the bound address",
                            kPeerEndpointRule, "", store_remote(&NodeSettings::peer_advertise)));
   SettingSpecification seeds = optional("seeds", "Peer addresses of nodes to join through",
                                         kPeerEndpointRule, "", &store_seed);
@@ -128,7 +128,7 @@
                            kPeerQueueBytesRange.describe(), "4194304",
                            store_number(&NodeSettings::peer_queue_bytes, kPeerQueueBytesRange)));
   table.push_back(
-      optional("log-level", "Least level that is logged", kLevelRule, "info", &store_level));
+      optional("log-level", "Minimum level that is logged", kLevelRule, "info", &store_level));
 }
 
 void add_tls(std::vector<SettingSpecification>& table, const std::string& prefix,
--- a/src/settings/tests/node_settings_test.cc
+++ b/src/settings/tests/node_settings_test.cc
@@ -36,7 +36,7 @@
                      [&](const std::string& text) { return text.find(part) != std::string::npos; });
 }
 
-/// Settings file that goes with the test.
+/// Temporary settings file, deleted on destruction.
 class SettingsFile {
  public:
   explicit SettingsFile(const std::string& content) {
@@ -54,7 +54,7 @@
 
 }  // namespace
 
-TEST_CASE("flags and defaults make whole settings") {
+TEST_CASE("flags and defaults give complete settings") {
   const auto parsed = parse_command_line(with({"--seeds", "10.0.0.1:7000,10.0.0.2:7000"}));
   REQUIRE(parsed.has_value());
   const NodeSettings& settings = parsed.value().settings;
@@ -65,7 +65,7 @@
   CHECK(settings.seeds.size() == 2);
 }
 
-TEST_CASE("a file gives the same settings, flags win") {
+TEST_CASE("settings are read from a file, and flags take precedence") {
   const SettingsFile file(
       "node = \"node-2\"\nzone = \"posorja\"\nkey-value-store = \"127.0.0.1:7001\"\n"
       "proxy-loops = 4\nseeds = [\"10.0.0.1:7000\", \"10.0.0.2:7000\"]\n");
@@ -84,25 +84,25 @@
   CHECK(texts[0] == "proxy-loops: '900' is not allowed; allowed: a whole number from 1 to 64");
 }
 
-TEST_CASE("every mistake in a file is reported") {
+TEST_CASE("every error in a file is reported") {
   const SettingsFile file(
       "node = \"Node 2\"\nzone = \"posorja\"\nkey-value-store = \"kv:7001\"\nproxy-lops = 4\n");
   const auto texts = messages({"--config", file.name()});
   CHECK(any_has(texts, "node: 'Node 2'"));
   CHECK(any_has(texts, "key-value-store: 'kv:7001'"));
-  CHECK(any_has(texts, "'proxy-lops' is no setting"));
+  CHECK(any_has(texts, "unknown setting 'proxy-lops'"));
 }
 
-TEST_CASE("what is missing, unknown or unreadable is named") {
+TEST_CASE("missing, unknown and unreadable settings are named") {
   CHECK(any_has(messages({}), "zone: not given"));
-  CHECK(any_has(messages(with({"--bogus"})), "'--bogus' is no setting"));
+  CHECK(any_has(messages(with({"--bogus"})), "unknown setting '--bogus'"));
   CHECK(any_has(messages(with({"--config", "/nonexistent"})), "/nonexistent"));
   CHECK(any_has(messages(with({"--peer-tls-key", "/nonexistent"})), "peer-tls-key"));
   CHECK(any_has(messages(with({"--peer-tls-key", "/dev/null"})), "peer-tls-authority"));
   CHECK(any_has(messages(with({"--seeds", "10.0.0.1:0"})), "seeds: '10.0.0.1:0'"));
 }
 
-TEST_CASE("help shows every setting with what is allowed") {
+TEST_CASE("help shows settings with their allowed values") {
   const auto parsed = parse_command_line({"--help"});
   REQUIRE(parsed.has_value());
   CHECK(parsed.value().command == Command::kHelp);
--- a/src/wire/archive.h
+++ b/src/wire/archive.h
@@ -1,6 +1,5 @@
-// Compact archives over Boost.Serialization: integers as variable-length numbers, lengths bounded
-// by the bytes that remain, no class headers. Types provide the usual `serialize(archive,
-// version)`.
+// Compact archives for Boost.Serialization: integers as variable-length numbers, lengths limited by
+// the remaining bytes, no class headers. Types provide the usual `serialize(archive, version)`.
 #pragma once
 
 #include <bit>
@@ -20,7 +19,7 @@
 
 namespace ochrespring::wire {
 
-/// Thrown inside decode() only; never leaves the wire layer.
+/// Thrown only within decode(); never leaves the wire layer.
 struct DecodeFailure {
   bool truncated = false;
 };
@@ -133,13 +132,13 @@
     return *this >> value;
   }
 
-  /// Bytes not yet read.
+  /// Number of bytes not yet read.
   std::size_t remaining() const { return input_.size(); }
 
  private:
   std::uint64_t load_varint();
   std::string_view load_bytes(std::size_t count);
-  /// Number of elements that follow; each takes at least one byte, which bounds it.
+  /// Reads an element count. Each element takes at least one byte, which bounds the count.
   std::size_t load_count();
 
   void load(std::string& text) { text = std::string(load_bytes(load_count())); }
@@ -246,7 +245,7 @@
     return value;
   }
 
-  /// Enumerations on the wire are small; consumers still handle unknown enumerators.
+  /// Enumerators on the wire are at most this; consumers must still handle unknown ones.
   static constexpr std::uint64_t kLargestEnumerator = 255;
 
   std::string_view input_;
--- a/src/wire/codec.h
+++ b/src/wire/codec.h
@@ -9,7 +9,7 @@
 
 namespace ochrespring::wire {
 
-/// Bytes of a message.
+/// Encodes a message.
 template <class T>
 std::string encode(const T& message) {
   std::string bytes;
@@ -18,7 +18,7 @@
   return bytes;
 }
 
-/// Message from bytes; all bytes must be used. Safe on arbitrary input.
+/// Decodes a message; fails if bytes are left over. Safe on arbitrary input.
 template <class T>
 Result<T, WireError> decode(std::string_view bytes) {
   try {
--- a/src/wire/compression.cc
+++ b/src/wire/compression.cc
@@ -10,7 +10,7 @@
 constexpr std::size_t kChunkBytes = 64U << 10U;
 
 Bytef* input_pointer(std::string_view bytes) {
-  // zlib's interface predates const; it does not write here.
+  // zlib takes a non-const pointer but does not write to it.
   return const_cast<Bytef*>(reinterpret_cast<const Bytef*>(bytes.data()));
 }
 }  // namespace
@@ -27,7 +27,7 @@
 Result<std::string, WireError> decompress(std::string_view bytes) {
   z_stream stream{};
   if (inflateInit(&stream) != Z_OK) {
-    return fail(WireErrc::kMalformed, "cannot start to decompress");
+    return fail(WireErrc::kMalformed, "cannot initialize decompression");
   }
   stream.next_in = input_pointer(bytes);
   stream.avail_in = static_cast<uInt>(bytes.size());
@@ -42,7 +42,7 @@
   }
   inflateEnd(&stream);
   if (status != Z_STREAM_END || output.size() > kLargestInflatedBytes) {
-    return fail(WireErrc::kMalformed, "damaged or too large when decompressed");
+    return fail(WireErrc::kMalformed, "corrupt data, or too large after decompression");
   }
   return output;
 }
--- a/src/wire/compression.h
+++ b/src/wire/compression.h
@@ -1,4 +1,4 @@
-// Compression of what goes over the wire in bulk (zlib).
+// Compression (zlib) of bulk data sent between nodes.
 #pragma once
 
 #include <cstddef>
@@ -9,12 +9,13 @@
 
 namespace ochrespring::wire {
 
-/// Largest size accepted after decompression, in bytes: what a peer sends may not fill the memory.
+/// Maximum size after decompression in bytes, so that input from a peer cannot exhaust the memory.
 inline constexpr std::size_t kLargestInflatedBytes = 64U << 20U;
 
-/// Compressed bytes.
+/// Compresses `bytes`.
 std::string compress(std::string_view bytes);
-/// Original bytes; kMalformed if damaged or above kLargestInflatedBytes.
+/// Decompresses `bytes`. Fails with kMalformed if they are corrupt or the result exceeds
+/// kLargestInflatedBytes.
 Result<std::string, WireError> decompress(std::string_view bytes);
 
 }  // namespace ochrespring::wire
--- a/src/wire/errc.h
+++ b/src/wire/errc.h
@@ -6,9 +6,9 @@
 namespace ochrespring::wire {
 
 enum class WireErrc {
-  kTruncated,      ///< The bytes end before the message does.
-  kTrailingBytes,  ///< Bytes are left after the message.
-  kMalformed,      ///< A length or value is outside its bound.
+  kTruncated,      ///< The input ends before the message is complete.
+  kTrailingBytes,  ///< Bytes remain after the message.
+  kMalformed,      ///< A length or value is out of range.
 };
 
 using WireError = LayerError<WireErrc>;
--- a/src/wire/tests/codec_test.cc
+++ b/src/wire/tests/codec_test.cc
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-TEST_CASE("a message survives encoding") {
+TEST_CASE("a message round-trips through encoding") {
   const bool holds =
       rc::check([](const std::string& node, std::int64_t number, std::uint32_t small,
                    const std::vector<std::string>& names,
@@ -52,7 +52,7 @@
   CHECK(holds);
 }
 
-TEST_CASE("a message cut short is an error") {
+TEST_CASE("a truncated message is an error") {
   Sample sample;
   sample.names = {"first", "second"};
   const std::string bytes = encode(sample);
--- a/src/wire/tests/compression_test.cc
+++ b/src/wire/tests/compression_test.cc
@@ -7,7 +7,7 @@
 
 using namespace ochrespring;
 
-TEST_CASE("compressed bytes survive; damaged ones are an error") {
+TEST_CASE("compression round-trips, and corrupt data is an error") {
   const bool holds = rc::check([](const std::string& bytes) {
     const std::string packed = wire::compress(bytes);
     RC_ASSERT(wire::decompress(packed).value() == bytes);
@@ -17,7 +17,7 @@
   CHECK(holds);
 }
 
-TEST_CASE("bytes that would grow beyond all bounds are refused") {
+TEST_CASE("data that exceeds the limit after decompression is rejected") {
   const std::string packed = wire::compress(std::string(wire::kLargestInflatedBytes + 1, 'x'));
   CHECK(packed.size() < wire::kLargestInflatedBytes / 100);
   CHECK(wire::decompress(packed).has_error());
