--- a/src/admission/admission_control.cc
+++ b/src/admission/admission_control.cc
@@ -95,7 +95,7 @@
       {.backend = answer.backend, .sent = answer.sent, .statement = statement.rate_limit});
   if (statement.leaving) {
     note_leaving(answer.backend);
-  } else if (statement.leaving_unreadable) {
+  } else if (statement.leaving_malformed) {
     log("cannot parse leaving announcement", answer.backend, "answer", {});
   }
   if (statement.backoff.kind != gateway::BackoffStatement::Kind::kNone) {
@@ -107,7 +107,7 @@
 
 void AdmissionControl::note_backoff(const gateway::BackendId& backend,
                                     const gateway::BackoffStatement& backoff) {
-  if (backoff.kind == gateway::BackoffStatement::Kind::kUnreadable) {
+  if (backoff.kind == gateway::BackoffStatement::Kind::kMalformed) {
     ++statistics_.backoffs_unreadable;
     log("cannot parse backoff period", backend, backoff.text, {});
     return;
@@ -148,7 +148,8 @@
   }
   ++statistics_.backoffs_reported;
   const Duration backoff = std::min(notice.backoff, kMaxReportedBackoff);
-  dependencies_.loads.of(notice.backend).note_peer_backoff(dependencies_.clock.now() + backoff);
+  dependencies_.loads.find_or_create(notice.backend)
+      .note_peer_backoff(dependencies_.clock.now() + backoff);
 }
 
 void AdmissionControl::send_all(const std::function<void(const BackendNotice&)>& send) const {
--- a/src/admission/tests/admission_control_test.cc
+++ b/src/admission/tests/admission_control_test.cc
@@ -56,7 +56,7 @@
   }
   void receive_backoff(const char* id, Duration span) {
     gateway::BackendStatement statement;
-    statement.backoff = {.kind = Kind::kAsked, .span = span, .text = {}};
+    statement.backoff = {.kind = Kind::kRequested, .span = span, .text = {}};
     statement.not_run = true;
     admission.note_answer({gateway::BackendId(id), time.now(), statement});
   }
@@ -144,7 +144,7 @@
                   "a backoff reported by another node expires, whatever its length") {
   for (const Duration reported_backoff : {Duration(-1s), Duration::max(), Duration::min()}) {
     admission.receive({gateway::BackendId("a@1"), false, reported_backoff});
-    CHECK(loads.of(gateway::BackendId("a@1")).refusal_share(time.now() + 61s) == 0);
+    CHECK(loads.find_or_create(gateway::BackendId("a@1")).refusal_share(time.now() + 61s) == 0);
   }
 }
 
@@ -183,8 +183,8 @@
 
 TEST_CASE_FIXTURE(AdmissionFixture, "announcements that cannot be parsed have no effect") {
   gateway::BackendStatement statement;
-  statement.backoff = {.kind = Kind::kUnreadable, .span = {}, .text = "soon"};
-  statement.leaving_unreadable = true;
+  statement.backoff = {.kind = Kind::kMalformed, .span = {}, .text = "soon"};
+  statement.leaving_malformed = true;
   admission.note_answer({gateway::BackendId("a@1"), time.now(), statement});
   CHECK(has_room("a@1"));
   CHECK_FALSE(fleet.is_leaving(gateway::BackendId("a@1")));
--- a/src/admission_queue/tests/queued_request_test.cc
+++ b/src/admission_queue/tests/queued_request_test.cc
@@ -27,7 +27,7 @@
 
   Environment environment_with_queue() {
     Environment result = environment();
-    result.replicates_resumable = true;
+    result.replicate_retryable_streams = true;
     result.queue = &queue;
     return result;
   }
@@ -59,7 +59,7 @@
   const auto caller = fixture.send_request("/once/queued");
   CHECK(fixture.sends() == kCapacity);
   CHECK(fixture.queueing.held().queued == 1);
-  CHECK(fixture.queueing.held().at_back_ends == kCapacity);
+  CHECK(fixture.queueing.held().awaiting_backend == kCapacity);
   fixture.advance(60ms);
   CHECK(fixture.sends() == kCapacity);
   fixture.complete(0);
@@ -74,11 +74,11 @@
 TEST_CASE("a slot freed by another node's request is used without an attempt of this node ending") {
   QueueingFixture fixture;
   fixture.add_backend("b", "relay");
-  fixture.loads.of(BackendId("b"))
+  fixture.loads.find_or_create(BackendId("b"))
       .note_report({.running = 40, .waiting = 0, .slots = 8}, fixture.time.now());
   fixture.send_request("/once/queued");
   REQUIRE(fixture.queue.waiting() == 1);
-  fixture.loads.of(BackendId("b"))
+  fixture.loads.find_or_create(BackendId("b"))
       .note_report({.running = 2, .waiting = 0, .slots = 8}, fixture.time.now());
   fixture.advance(60ms);
   CHECK(fixture.sends() == 1);
@@ -327,7 +327,7 @@
     std::vector<bool> completions;
   } recording;
   Environment recorded_environment = environment();
-  recorded_environment.replicates_resumable = true;
+  recorded_environment.replicate_retryable_streams = true;
   recorded_environment.queue = &recording;
   Gateway recorded{recorded_environment, [](auto done) { done(true); }};
   const auto caller = begin_stream(recorded);
--- a/src/duties/fence_offset.cc
+++ b/src/duties/fence_offset.cc
@@ -4,21 +4,23 @@
 
 namespace {
 
-/// More changes than the store counts in one life: at 1,000 a second it takes 49 days. Fences stay
-/// below 2^53, which every reader of JSON knows exactly, for two million lives.
-constexpr std::uint64_t kFencesOfOneLife = std::uint64_t{1} << 32U;
+/// Exceeds the number of revisions in one store era: at 1,000 changes a second it is reached after
+/// 49 days. Fences stay below 2^53, the range that every JSON parser represents exactly, for two
+/// million eras.
+constexpr std::uint64_t kFencesPerEra = std::uint64_t{1} << 32U;
 
 }  // namespace
 
-FenceOffset offset_in(shared_store::StoreEra era, const std::optional<FenceOffset>& last) {
+FenceOffset compute_fence_offset(shared_store::StoreEra era,
+                                 const std::optional<FenceOffset>& last) {
   if (!last) {
     return {.era = era, .offset = 0};
   }
   if (era <= last->era) {
     return *last;
   }
-  const std::uint64_t lives = era.value() - last->era.value();
-  return {.era = era, .offset = last->offset + lives * kFencesOfOneLife};
+  const std::uint64_t eras = era.value() - last->era.value();
+  return {.era = era, .offset = last->offset + eras * kFencesPerEra};
 }
 
 }  // namespace ochrespring::duties
--- a/src/engine_profiles/engine_profile_table.cc
+++ b/src/engine_profiles/engine_profile_table.cc
@@ -151,7 +151,7 @@
     return;
   }
   double took = to_nanoseconds(observation.took) / *pace;
-  if (observation.with_first_event) {
+  if (observation.includes_first_event) {
     const auto profile = find(*backend, now);
     const gateway::EngineShape* shape = find_shape(backend->service);
     const double decode_time = profile && shape != nullptr
--- a/src/gateway/attempt_starter.cc
+++ b/src/gateway/attempt_starter.cc
@@ -35,8 +35,8 @@
   }
   attempt.uses_cache = kind == SendKind::kRun && cache_.held();
   attempt.unread_tokens = attempt.uses_cache ? 0 : choice.prefill_tokens;
-  if (!attempt.uses_cache && choice.cache_source != nullptr) {
-    attempt.cache_source = choice.cache_source->address;
+  if (!attempt.uses_cache && choice.fetch_source != nullptr) {
+    attempt.cache_source = choice.fetch_source->address;
     ++counts.cache_fetches;
   }
   // A request that may crash its engine is not replicated to a second one.
@@ -52,7 +52,7 @@
       make_backend_request(input.request, environment_.names, make_call(attempt, backend, input));
   if (SendGate* gate = environment_.gate) {
     gate->note_send(backend.id, attempt.started);
-    sent.may_leave = [gate, &clock = environment_.clock, id = backend.id] {
+    sent.may_send = [gate, &clock = environment_.clock, id = backend.id] {
       return gate->may_send(id, clock.now());
     };
   }
--- a/src/gateway/attempt_starter.h
+++ b/src/gateway/attempt_starter.h
@@ -33,7 +33,7 @@
 /// Serves one request, on one event loop. The referenced objects must outlive it.
 class AttemptStarter {
  public:
-  AttemptStarter(Environment& environment, const PromptCache& cache, StreamBackup& backup)
+  AttemptStarter(Environment& environment, const PrefillCacheHolder& cache, StreamBackup& backup)
       : environment_(environment), cache_(cache), backup_(backup) {}
 
   /// Creates an attempt: decides which caches it uses, where it is replicated and which run it
@@ -51,7 +51,7 @@
   std::size_t connection_share(const Service* service) const;
 
   Environment& environment_;
-  const PromptCache& cache_;
+  const PrefillCacheHolder& cache_;
   StreamBackup& backup_;
 };
 
--- a/src/gateway/backend_request.cc
+++ b/src/gateway/backend_request.cc
@@ -81,7 +81,7 @@
   sent.body = request.body;
   sent.timeout = call.left;
   sent.connect_timeout = std::min(kConnectTimeout, call.left);
-  sent.most_idle = call.max_idle_connections;
+  sent.max_idle_connections = call.max_idle_connections;
   sent.close_ends_answer = true;
   sent.echo = http::Header{names.request_id,
                            std::string(http::find_header(request.headers, names.request_id))};
--- a/src/gateway/candidates.cc
+++ b/src/gateway/candidates.cc
@@ -10,7 +10,7 @@
 namespace {
 
 std::string_view shared_key(const CandidateFinder::Query& query) {
-  return query.prompt == nullptr ? std::string_view() : query.prompt->shared_key();
+  return query.prompt == nullptr ? std::string_view() : query.prompt->shared_prefix_id();
 }
 
 void add_once(std::vector<const Backend*>& backends, const Backend* backend) {
--- a/src/gateway/placement.cc
+++ b/src/gateway/placement.cc
@@ -238,7 +238,7 @@
   } else {
     const PrefillWork prefill_work = prefill_work_at(backend, view, now);
     choice.prefill_tokens = prefill_work.prefill_tokens;
-    choice.cache_source = prefill_work.cache_source;
+    choice.fetch_source = prefill_work.cache_source;
     choice.cost =
         fetch_cost(prefill_work.fetched_tokens) +
         kRunnerPrefillCost * load.slowness(now) *
@@ -259,7 +259,7 @@
   const PrefillWork prefill_work = prefill_work_at(backend, view, now);
   PlacementChoice choice;
   choice.prefill_tokens = prefill_work.prefill_tokens;
-  choice.cache_source = prefill_work.cache_source;
+  choice.fetch_source = prefill_work.cache_source;
   const double missing = static_cast<double>(choice.prefill_tokens - view.prompt.own_tokens());
   choice.cost = connection_cost(backend, view.request) + fetch_cost(prefill_work.fetched_tokens) +
                 view.cold_cost * missing +
--- a/src/gateway/prompt_cache.cc
+++ b/src/gateway/prompt_cache.cc
@@ -10,7 +10,7 @@
 
 }  // namespace
 
-void PromptCache::note_end(AttemptOutcome outcome) {
+void PrefillCacheHolder::note_end(AttemptOutcome outcome) {
   if (outcome == AttemptOutcome::kRefused) {
     release();
   } else if (outcome != AttemptOutcome::kUnreachable && outcome != AttemptOutcome::kNotSent &&
@@ -20,7 +20,7 @@
   }
 }
 
-void PromptCache::release() {
+void PrefillCacheHolder::release() {
   if (!handle_) {
     return;
   }
@@ -30,7 +30,7 @@
     handle_.reset();
     return;
   }
-  http::ClientRequest request = environment_.engines.release_cache(handle_->handle);
+  http::ClientRequest request = environment_.engine_calls.release_cache(handle_->handle);
   request.endpoint = handle_->address;
   request.timeout = kReleaseTimeout;
   handle_.reset();
--- a/src/gateway/rate_limit_header.h
+++ b/src/gateway/rate_limit_header.h
@@ -43,6 +43,6 @@
 };
 
 /// Of several valid headers with this name the lowest rate applies.
-RateStatement read_rate_limit(const std::vector<http::Header>& headers, std::string_view name);
+RateStatement parse_rate_limit(const std::vector<http::Header>& headers, std::string_view name);
 
 }  // namespace ochrespring::gateway
--- a/src/gateway/tests/backed_off_request_test.cc
+++ b/src/gateway/tests/backed_off_request_test.cc
@@ -32,7 +32,7 @@
   /// Reports that the connection is established. The send is withdrawn if the back end backs off by
   /// now; returns whether it takes place.
   bool connect() {
-    const bool leaves = last().request.may_leave();
+    const bool leaves = last().request.may_send();
     if (!leaves) {
       last().fail(http::HttpErrc::kWithdrawn, false);
     }
--- a/src/gateway/tests/caller_keys_test.cc
+++ b/src/gateway/tests/caller_keys_test.cc
@@ -116,7 +116,7 @@
 
 TEST_CASE("a node that cannot verify a key answers 503 and sends nothing") {
   KeyedFixture world;
-  world.store_answers = false;
+  world.refresh_succeeds = false;
   CHECK(world.send_with_key("/once/x", "Token new")->head.status == 503);
   CHECK(world.sends() == 0);
 }
--- a/src/gateway/tests/engine_observer_test.cc
+++ b/src/gateway/tests/engine_observer_test.cc
@@ -95,7 +95,7 @@
   REQUIRE(seen.prefills.size() == 1);
   CHECK(seen.prefills[0].took == milliseconds(60));
   CHECK(seen.prefills[0].tokens == 200);
-  CHECK(seen.prefills[0].with_first_event);
+  CHECK(seen.prefills[0].includes_first_event);
   CHECK(seen.long_streams[engine] == 0);  // 12 events are expected, 3 remain.
 }
 
@@ -158,5 +158,5 @@
   REQUIRE(seen.prefills.size() == 1);
   CHECK(seen.prefills[0].engine == BackendId("p1"));
   CHECK(seen.prefills[0].tokens == 9000);
-  CHECK_FALSE(seen.prefills[0].with_first_event);
+  CHECK_FALSE(seen.prefills[0].includes_first_event);
 }
--- a/src/gateway/tests/gap_forecast_test.cc
+++ b/src/gateway/tests/gap_forecast_test.cc
@@ -142,7 +142,7 @@
   World world;
   world.put("streams", make_profile(kTypical.output_token, kTypical.prompt_token, 3));
   world.put("busy", kTypical);
-  BackendLoad& streams = world.loads.of(BackendId("streams"));
+  BackendLoad& streams = world.loads.find_or_create(BackendId("streams"));
   streams.note_report({.running = 3, .slots = 6, .pace_percent = 250}, {});
   for (std::uint32_t i = 0; i != 3; ++i) {
     world.loads.begin(BackendId("busy"), 3'000);
--- a/src/gateway/tests/gateway_fixture.h
+++ b/src/gateway/tests/gateway_fixture.h
@@ -113,7 +113,7 @@
 /// Engine calls in a simple format for tests.
 class FakeEngineCalls final : public EngineCalls {
  public:
-  std::optional<std::string> read_cache_handle(std::string_view body) const override {
+  std::optional<std::string> parse_cache_handle(std::string_view body) const override {
     return body.starts_with("handle=") ? std::optional(std::string(body.substr(7))) : std::nullopt;
   }
   http::ClientRequest release_cache(const std::string& handle) const override {
@@ -127,7 +127,7 @@
     request.path = "/cached";
     return request;
   }
-  std::vector<std::string> read_cached_parts(std::string_view body) const override {
+  std::vector<std::string> parse_cached_parts(std::string_view body) const override {
     return body.empty() ? std::vector<std::string>() : std::vector{std::string(body)};
   }
 };
--- a/src/gateway/tests/large_placement_test.cc
+++ b/src/gateway/tests/large_placement_test.cc
@@ -138,7 +138,7 @@
 TEST_CASE("if all engines are ejected, one of them is chosen anyway") {
   LargePlacement fleet;
   for (int i = 0; i != kEngines; ++i) {
-    fleet.loads.of(BackendId("i-" + std::to_string(i))).note_unresponsive(fleet.now);
+    fleet.loads.find_or_create(BackendId("i-" + std::to_string(i))).note_unresponsive(fleet.now);
   }
   CHECK(fleet.choose(LargePlacement::make_prompt("any")).runner.backend != nullptr);
 }
--- a/src/gateway/tests/request_session_test.cc
+++ b/src/gateway/tests/request_session_test.cc
@@ -397,7 +397,7 @@
   const auto caller = fixture.send("/once/x");
   CHECK(fixture.sends() == 1);
   CHECK(caller->head.status == 503);
-  CHECK(fixture.loads.of(BackendId("r1")).reported_waiting(fixture.time.now()) == 0);
+  CHECK(fixture.loads.find_or_create(BackendId("r1")).reported_waiting(fixture.time.now()) == 0);
   fixture.add_backend("r2", "relay");
   fixture.send("/once/x");
   CHECK(fixture.last().request.endpoint == Endpoint("r2:1"));
@@ -410,7 +410,7 @@
   fixture.send("/stream/x", kLongPrompt);
   REQUIRE(fixture.last().request.endpoint.value() == "p1:1");
   fixture.last().answer(421, {}, "");
-  CHECK(fixture.loads.of(BackendId("p1")).ejected(fixture.time.now()));
+  CHECK(fixture.loads.find_or_create(BackendId("p1")).ejected(fixture.time.now()));
 }
 
 TEST_CASE("a deadline that is too large or not a number is replaced by the route's timeout") {
@@ -432,7 +432,7 @@
     Gateway one_of_many(std::move(made), [](auto done) { done(true); });
     auto caller = std::make_shared<testing::FakeCaller>();
     one_of_many.handle({"POST", "/once/x", "", {{"host", "h"}}, "body"}, caller);
-    CHECK(last().request.most_idle * nodes <= 100);
+    CHECK(last().request.max_idle_connections * nodes <= 100);
     last().answer(200, {signature()}, "ok");
   }
 }
--- a/src/http/connection_pool.cc
+++ b/src/http/connection_pool.cc
@@ -31,7 +31,7 @@
   while (!kept.empty()) {
     std::unique_ptr<ClientConnection> connection = kept.back()->release();
     kept.pop_back();
-    if (!connection->has_news()) {
+    if (!connection->has_pending_input()) {
       return connection;
     }
   }
@@ -44,9 +44,9 @@
 }
 
 void ConnectionPool::put(const std::string& endpoint, std::unique_ptr<ClientConnection> connection,
-                         Duration keep, std::size_t most) {
+                         Duration keep, std::size_t max_idle) {
   auto& kept = idle_[endpoint];
-  if (kept.size() < most) {
+  if (kept.size() < max_idle) {
     kept.push_back(std::make_unique<Idle>(*this, endpoint, std::move(connection), keep));
   }
 }
--- a/src/http/response_stream.h
+++ b/src/http/response_stream.h
@@ -1,4 +1,4 @@
-// The server's ResponseWriter: one answer on one h2o request.
+// ResponseWriter of the server: one response to one h2o request.
 #pragma once
 
 #include <functional>
@@ -11,17 +11,17 @@
 
 namespace ochrespring::http {
 
-/// Feeds h2o's generator interface, which takes one write at a time, from a buffer. Writes made in
-/// one turn of the loop are joined into one. Outlives the h2o request, which tells it when it goes
-/// by way of its memory pool: the only notice h2o gives in every case (HTTP/1.1 close, HTTP/2
-/// reset, answer finished).
+/// Buffers the response for h2o's generator interface, which accepts one write at a time. Writes
+/// made in one loop iteration are merged. May outlive the h2o request, whose disposal it detects
+/// through the request's memory pool: this is the only notification that h2o gives in all cases
+/// (HTTP/1.1 close, HTTP/2 reset, response finished).
 class ResponseStream final : public ResponseWriter,
                              public std::enable_shared_from_this<ResponseStream> {
  public:
   ResponseStream(EventLoop& loop, h2o_req_t* request);
   ~ResponseStream() override;
 
-  /// Ties the stream to the request's life. Called once, after construction.
+  /// Binds the stream to the lifetime of the request. Called once, after construction.
   void attach();
 
   void send_head(const ResponseHead& head) override;
@@ -29,17 +29,17 @@
   void finish() override;
   void abort() override;
   std::size_t buffered_bytes() const override { return queued_.size() + in_flight_.size(); }
-  bool closed() const override { return request_ == nullptr || caller_gone_; }
+  bool closed() const override { return request_ == nullptr || caller_disconnected_; }
   void on_closed(std::function<void()> callback) override { on_closed_ = std::move(callback); }
   void on_drained(std::function<void()> callback) override { on_drained_ = std::move(callback); }
 
  private:
-  /// h2o's generator with the way back to this object.
+  /// h2o's generator with a pointer to its stream.
   struct Generator {
     h2o_generator_t super;
     ResponseStream* owner;
   };
-  /// Lives in the request's memory pool and is disposed of with it.
+  /// Allocated in the memory pool of the request and disposed of with it.
   struct RequestSlot {
     ResponseStream* stream;
   };
@@ -52,21 +52,21 @@
   void schedule_pump();
   void pump();
   void send(h2o_send_state_t state);
-  void request_gone();
-  void caller_went_away();
+  void on_request_disposed();
+  void on_caller_disconnected();
   h2o_socket_t* http1_socket() const;
-  void watch_caller();
-  void check_caller();
+  void watch_for_disconnect();
+  void check_for_disconnect();
   void stop_watching();
   void reset_on_close();
-  void end_connection();
-  void cut_connection();
+  void shut_down_connection();
+  void reset_connection();
 
   EventLoop& loop_;
   h2o_req_t* request_;
   Generator generator_{};
   Timer pipelined_check_;
-  std::shared_ptr<ResponseStream> self_;  ///< Held while the request lives.
+  std::shared_ptr<ResponseStream> self_;  ///< Keeps the stream alive while the request exists.
   std::string queued_;
   std::string in_flight_;
   std::function<void()> on_closed_;
@@ -76,7 +76,7 @@
   bool writing_ = false;
   bool final_sent_ = false;
   bool pump_scheduled_ = false;
-  bool caller_gone_ = false;
+  bool caller_disconnected_ = false;
   bool watching_ = false;
 };
 
--- a/src/http/tests/client_failure_test.cc
+++ b/src/http/tests/client_failure_test.cc
@@ -1,4 +1,4 @@
-// How the client classifies failures, against a peer that misbehaves on plain sockets.
+// Tests how the client classifies failures, against a misbehaving peer on plain sockets.
 #include <doctest/doctest.h>
 #include <sys/socket.h>
 #include <unistd.h>
@@ -16,8 +16,8 @@
 
 namespace {
 
-/// Accepts one connection per script entry on a thread; each entry lists answers to give, one per
-/// request read, before the connection is closed.
+/// Accepts one connection per script entry on a thread. Each entry lists the responses to send, one
+/// per request read, before the connection is closed.
 class ScriptedPeer {
  public:
   explicit ScriptedPeer(std::vector<std::vector<std::string>> script)
@@ -54,23 +54,23 @@
   std::thread thread_;
 };
 
-struct Ended {
+struct Outcome {
   std::optional<http::FetchFailure> failure;
   std::string body;
 };
 
-Ended fetch(http::EventLoop& loop, http::Client& client, http::ClientRequest request) {
-  Ended ended;
+Outcome fetch(http::EventLoop& loop, http::Client& client, http::ClientRequest request) {
+  Outcome outcome;
   client.fetch(std::move(request), [&](auto result) {
     if (result) {
-      ended.body = result.value().body;
+      outcome.body = result.value().body;
     } else {
-      ended.failure = result.error();
+      outcome.failure = result.error();
     }
     loop.stop();
   });
   loop.run();
-  return ended;
+  return outcome;
 }
 
 http::ClientRequest get(const Endpoint& endpoint) {
@@ -79,32 +79,32 @@
   return request;
 }
 
-const std::string kWhole = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
+const std::string kCompleteResponse = "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
 
 }  // namespace
 
-TEST_CASE("a refused connection is certainly not sent") {
+TEST_CASE("a request on a refused connection is reported as not sent") {
   http::EventLoop loop;
   http::Client client(loop);
   const int listener = http::open_listener(Endpoint("127.0.0.1:0"), false).value();
   const Endpoint endpoint = bound_endpoint(listener);
   ::close(listener);
-  const Ended ended = fetch(loop, client, get(endpoint));
-  REQUIRE(ended.failure);
-  CHECK(ended.failure->error.code == http::HttpErrc::kConnect);
-  CHECK_FALSE(ended.failure->sent);
+  const Outcome outcome = fetch(loop, client, get(endpoint));
+  REQUIRE(outcome.failure);
+  CHECK(outcome.failure->error.code == http::HttpErrc::kConnect);
+  CHECK_FALSE(outcome.failure->sent);
 }
 
-TEST_CASE("an invalid address is certainly not sent") {
+TEST_CASE("a request to an invalid address is reported as not sent") {
   http::EventLoop loop;
   http::Client client(loop);
-  const Ended ended = fetch(loop, client, get(Endpoint("nowhere")));
-  REQUIRE(ended.failure);
-  CHECK(ended.failure->error.code == http::HttpErrc::kAddressInvalid);
-  CHECK_FALSE(ended.failure->sent);
+  const Outcome outcome = fetch(loop, client, get(Endpoint("nowhere")));
+  REQUIRE(outcome.failure);
+  CHECK(outcome.failure->error.code == http::HttpErrc::kAddressInvalid);
+  CHECK_FALSE(outcome.failure->sent);
 }
 
-TEST_CASE("answers whose end is not proven are truncated") {
+TEST_CASE("responses without a confirmed end are reported as truncated") {
   const std::vector<std::string> truncated = {
       "HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nok",
       "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n2\r\nok\r\n",
@@ -116,61 +116,61 @@
     http::EventLoop loop;
     http::Client client(loop);
     ScriptedPeer peer({{answer}});
-    const Ended ended = fetch(loop, client, get(peer.endpoint()));
-    REQUIRE(ended.failure);
-    CHECK(ended.failure->error.code == http::HttpErrc::kTruncated);
-    CHECK(ended.failure->sent);
+    const Outcome outcome = fetch(loop, client, get(peer.endpoint()));
+    REQUIRE(outcome.failure);
+    CHECK(outcome.failure->error.code == http::HttpErrc::kTruncated);
+    CHECK(outcome.failure->sent);
   }
 }
 
-TEST_CASE("a new connection closed before the answer is a reset, maybe sent") {
+TEST_CASE("a new connection closed before the response is a reset; bytes may have been sent") {
   http::EventLoop loop;
   http::Client client(loop);
   ScriptedPeer peer({{""}});
-  const Ended ended = fetch(loop, client, get(peer.endpoint()));
-  REQUIRE(ended.failure);
-  CHECK(ended.failure->error.code == http::HttpErrc::kReset);
-  CHECK(ended.failure->sent);
+  const Outcome outcome = fetch(loop, client, get(peer.endpoint()));
+  REQUIRE(outcome.failure);
+  CHECK(outcome.failure->error.code == http::HttpErrc::kReset);
+  CHECK(outcome.failure->sent);
 }
 
-TEST_CASE("a reused connection closed before the answer is told apart") {
+TEST_CASE("a reused connection closed before the response is reported as stale") {
   http::EventLoop loop;
   http::Client client(loop);
-  ScriptedPeer peer({{kWhole, ""}});
+  ScriptedPeer peer({{kCompleteResponse, ""}});
   CHECK(fetch(loop, client, get(peer.endpoint())).body == "ok");
-  const Ended ended = fetch(loop, client, get(peer.endpoint()));
-  REQUIRE(ended.failure);
-  CHECK(ended.failure->error.code == http::HttpErrc::kStaleConnection);
-  CHECK(ended.failure->sent);
+  const Outcome outcome = fetch(loop, client, get(peer.endpoint()));
+  REQUIRE(outcome.failure);
+  CHECK(outcome.failure->error.code == http::HttpErrc::kStaleConnection);
+  CHECK(outcome.failure->sent);
 }
 
-TEST_CASE("a request that asks for a new connection gets one") {
+TEST_CASE("a request with fresh_connection uses a new connection") {
   http::EventLoop loop;
   http::Client client(loop);
-  ScriptedPeer peer({{kWhole}, {kWhole}});
+  ScriptedPeer peer({{kCompleteResponse}, {kCompleteResponse}});
   auto request = get(peer.endpoint());
   request.fresh_connection = true;
   CHECK(fetch(loop, client, request).body == "ok");
   CHECK(fetch(loop, client, request).body == "ok");
 }
 
-TEST_CASE("an answer that does not come in time may have been sent") {
+TEST_CASE("a request that timed out may have been sent") {
   http::EventLoop loop;
   http::Client client(loop);
   const int listener = http::open_listener(Endpoint("127.0.0.1:0"), false).value();
   auto request = get(bound_endpoint(listener));
   request.timeout = 5ms;
-  const Ended ended = fetch(loop, client, request);
+  const Outcome outcome = fetch(loop, client, request);
   ::close(listener);
-  REQUIRE(ended.failure);
-  CHECK(ended.failure->error.code == http::HttpErrc::kTimeout);
-  CHECK(ended.failure->sent);
+  REQUIRE(outcome.failure);
+  CHECK(outcome.failure->error.code == http::HttpErrc::kTimeout);
+  CHECK(outcome.failure->sent);
 }
 
-TEST_CASE("an answer larger than asked for is refused") {
+TEST_CASE("a response larger than the limit is refused") {
   http::EventLoop loop;
   http::Client client(loop);
-  ScriptedPeer peer({{kWhole}});
+  ScriptedPeer peer({{kCompleteResponse}});
   std::optional<http::FetchFailure> failure;
   client.fetch(
       get(peer.endpoint()),
@@ -184,7 +184,7 @@
   CHECK(failure->error.code == http::HttpErrc::kTooLarge);
 }
 
-TEST_CASE("nothing is sent once the time to send by has passed, or what is not wanted any more") {
+TEST_CASE("nothing is sent after the send deadline or after a withdrawal") {
   http::EventLoop loop;
   http::Client client(loop);
   struct Row {
@@ -193,28 +193,27 @@
   };
   const Row rows[] = {
       {[](auto& request) { request.send_before = SystemClock().now(); }, http::HttpErrc::kExpired},
-      {[](auto& request) { request.may_leave = [] { return false; }; },
-       http::HttpErrc::kWithdrawn}};
+      {[](auto& request) { request.may_send = [] { return false; }; }, http::HttpErrc::kWithdrawn}};
   for (const Row& row : rows) {
     for (const bool reused : {false, true}) {
       CAPTURE(http::describe(row.error));
       CAPTURE(reused);
-      ScriptedPeer peer(reused ? std::vector<std::vector<std::string>>{{kWhole}}
+      ScriptedPeer peer(reused ? std::vector<std::vector<std::string>>{{kCompleteResponse}}
                                : std::vector<std::vector<std::string>>{{}});
       if (reused) {
         CHECK(fetch(loop, client, get(peer.endpoint())).body == "ok");
       }
       auto request = get(peer.endpoint());
       row.prepare(request);
-      const Ended ended = fetch(loop, client, request);
-      REQUIRE(ended.failure);
-      CHECK(ended.failure->error.code == row.error);
-      CHECK_FALSE(ended.failure->sent);
+      const Outcome outcome = fetch(loop, client, request);
+      REQUIRE(outcome.failure);
+      CHECK(outcome.failure->error.code == row.error);
+      CHECK_FALSE(outcome.failure->sent);
     }
   }
 }
 
-TEST_CASE("a client may end while its fetches wait for answers") {
+TEST_CASE("a client may be destroyed while its fetches are running") {
   http::EventLoop loop;
   const int listener = http::open_listener(Endpoint("127.0.0.1:0"), false).value();
   bool done = false;
@@ -230,7 +229,7 @@
   CHECK_FALSE(done);
 }
 
-TEST_CASE("an answer of another request is read over, and the connection is not used again") {
+TEST_CASE("a response to another request is skipped, and the connection is not reused") {
   http::EventLoop loop;
   http::Client client(loop);
   const std::string stray = "HTTP/1.1 200 OK\r\nx-id: other\r\ncontent-length: 5\r\n\r\nstray";
@@ -243,7 +242,7 @@
   CHECK(client.statistics().connections_opened == 2);
 }
 
-TEST_CASE("an orderly close ends an answer without a length only if that was asked for") {
+TEST_CASE("an orderly close ends a response without a length only with close_ends_answer") {
   http::EventLoop loop;
   http::Client client(loop);
   const std::string unframed = "HTTP/1.1 200 OK\r\n\r\nwhole";
@@ -254,37 +253,37 @@
   CHECK(fetch(loop, client, request).body == "whole");
 }
 
-TEST_CASE("bytes behind a whole answer end the connection, not the answer") {
+TEST_CASE("bytes after a complete response close the connection but do not fail the response") {
   http::EventLoop loop;
   http::Client client(loop);
-  ScriptedPeer peer({{kWhole + "surplus"}, {kWhole}});
+  ScriptedPeer peer({{kCompleteResponse + "surplus"}, {kCompleteResponse}});
   CHECK(fetch(loop, client, get(peer.endpoint())).body == "ok");
   CHECK(fetch(loop, client, get(peer.endpoint())).body == "ok");
   CHECK(client.statistics().connections_opened == 2);
 }
 
-TEST_CASE("no more idle connections are kept than asked for") {
+TEST_CASE("at most max_idle_connections idle connections are kept") {
   http::EventLoop loop;
   http::Client client(loop);
-  ScriptedPeer peer({{kWhole}, {kWhole}});
+  ScriptedPeer peer({{kCompleteResponse}, {kCompleteResponse}});
   auto request = get(peer.endpoint());
-  request.most_idle = 0;
+  request.max_idle_connections = 0;
   CHECK(fetch(loop, client, request).body == "ok");
   CHECK(fetch(loop, client, request).body == "ok");
   CHECK(client.statistics().connections_reused == 0);
 }
 
-TEST_CASE("a probe tells a peer that accepts from one that is gone") {
+TEST_CASE("a probe distinguishes an accepting peer from an unreachable one") {
   http::EventLoop loop;
   http::Client client(loop);
   const auto probe = [&](const Endpoint& endpoint) {
-    std::optional<http::ProbeResult> told;
+    std::optional<http::ProbeResult> received;
     client.probe(endpoint, 300ms, [&](http::ProbeResult result) {
-      told = result;
+      received = result;
       loop.stop();
     });
     loop.run();
-    return told;
+    return received;
   };
   const int listener = http::open_listener(Endpoint("127.0.0.1:0"), false).value();
   const Endpoint endpoint = bound_endpoint(listener);
@@ -292,7 +291,7 @@
   ::close(listener);
   CHECK(probe(endpoint) == http::ProbeResult::kRefused);
   CHECK(probe(Endpoint("no address")) == http::ProbeResult::kRefused);
-  // Somebody accepts, finds nobody behind and closes.
+  // A proxy without a back end accepts the connection and closes it.
   const ScriptedPeer closes(std::vector<std::vector<std::string>>(1));
   CHECK(probe(closes.endpoint()) == http::ProbeResult::kRefused);
 }
--- a/src/peer_load/work_announcer.cc
+++ b/src/peer_load/work_announcer.cc
@@ -47,8 +47,8 @@
     if (work.unresponsive) {
       unresponsive_.insert(work.engine);
     }
-    if (work.ended != 0) {
-      note_attempt_ends(work.engine, work.ended, work.failed);
+    if (work.ended_attempts != 0) {
+      note_attempt_ends(work.engine, work.ended_attempts, work.failed_attempts);
     }
     note_prefilled_parts(work.engine, work.prefilled_parts);
   }
@@ -59,8 +59,8 @@
     EngineWork work = work_at(engine);
     work.unresponsive = unresponsive_.erase(engine) != 0;
     if (const auto ends = attempt_ends_.extract(engine)) {
-      work.ended = ends.mapped().ended;
-      work.failed = ends.mapped().failed;
+      work.ended_attempts = ends.mapped().ended;
+      work.failed_attempts = ends.mapped().failed;
     }
     if (auto parts = prefilled_parts_.extract(engine)) {
       work.prefilled_parts = std::move(parts.mapped());
@@ -108,8 +108,8 @@
         work.prefilled_parts.begin() + static_cast<std::ptrdiff_t>(piece.prefilled_parts.size()));
     report_.engines.push_back(std::move(piece));
     flush(send);
-    work.ended = 0;
-    work.failed = 0;
+    work.ended_attempts = 0;
+    work.failed_attempts = 0;
   }
   parts_in_report_ += work.prefilled_parts.size();
   report_.engines.push_back(std::move(work));
--- a/src/rate_limit/rate_limiter.cc
+++ b/src/rate_limit/rate_limiter.cc
@@ -179,7 +179,7 @@
 }
 
 void RateLimiter::note_answer(const RateAnswer& answer) {
-  if (answer.statement.kind == gateway::RateStatement::Kind::kUnreadable) {
+  if (answer.statement.kind == gateway::RateStatement::Kind::kMalformed) {
     ++statistics_.limits_unreadable;
     deps_.logger.write({logging::Level::kWarning,
                         kComponent,
--- a/src/rate_limit/tests/limit_table_test.cc
+++ b/src/rate_limit/tests/limit_table_test.cc
@@ -62,7 +62,7 @@
 
 TEST_CASE("an answer with a malformed limit does not change the limit") {
   LimitTable table;
-  RateAnswer unreadable{kBackend, at(5s), {Kind::kUnreadable, {}, "1,3"}};
+  RateAnswer unreadable{kBackend, at(5s), {Kind::kMalformed, {}, "1,3"}};
   CHECK_FALSE(table.note_answer(unreadable, at(6s)));
   CHECK_FALSE(table.limit_of(kBackend));
   table.note_answer(limited_answer(2, 1s), at(2s));
