--- a/src/discovery/change_log.cc
+++ b/src/discovery/change_log.cc
@@ -95,7 +95,7 @@
 
 void ChangeLog::trim(MonotonicTime now) {
   while (!entries_.empty() &&
-         (entries_.size() > kMaxChanges || now - entries_.front().at > kRetention)) {
+         (entries_.size() > kMaxChanges || now - entries_.front().recorded_at > kRetention)) {
     drop_oldest();
   }
 }
--- a/src/discovery/change_log.h
+++ b/src/discovery/change_log.h
@@ -53,7 +53,7 @@
 
   struct Entry {
     ViewChange change;
-    MonotonicTime at{};
+    MonotonicTime recorded_at{};
   };
 
   /// Returns an update from `after` to the newest revision.
--- a/src/discovery/refresh_waiters.cc
+++ b/src/discovery/configuration_waiters.cc
@@ -1,24 +1,24 @@
-#include "discovery/refresh_waiters.h"
+#include "discovery/configuration_waiters.h"
 
 #include <utility>
 
 namespace ochrespring::discovery {
 
-void RefreshWaiters::add(Done done) {
+void ConfigurationWaiters::add(Done done) {
   callbacks_.push_back(std::move(done));
   if (!timer_.armed()) {
     arm_timer();
   }
 }
 
-void RefreshWaiters::complete(bool current) {
+void ConfigurationWaiters::complete(bool current) {
   timer_.disarm();
   for (const Done& done : std::exchange(callbacks_, {})) {
     done(current);
   }
 }
 
-void RefreshWaiters::arm_timer() {
+void ConfigurationWaiters::arm_timer() {
   const MonotonicTime deadline = clock_.now() + timeout_;
   timer_.arm(timeout_, [this, deadline] {
     if (clock_.now() - deadline > timeout_) {
--- a/src/discovery/refresh_waiters.h
+++ b/src/discovery/configuration_waiters.h
@@ -11,13 +11,13 @@
 
 /// Calls each waiter back once the result is known, or with false after the timeout. Used on one
 /// event loop.
-class RefreshWaiters {
+class ConfigurationWaiters {
  public:
   using Done = std::function<void(bool current)>;
 
   /// `on_timeout` is called before the waiters that have timed out.
-  RefreshWaiters(const Clock& clock, TimerService& timers, Duration timeout,
-                 std::function<void()> on_timeout)
+  ConfigurationWaiters(const Clock& clock, TimerService& timers, Duration timeout,
+                       std::function<void()> on_timeout)
       : clock_(clock), timeout_(timeout), on_timeout_(std::move(on_timeout)), timer_(timers) {}
 
   bool empty() const { return callbacks_.empty(); }
--- a/src/discovery/era_check.h
+++ b/src/discovery/era_check.h
@@ -31,14 +31,14 @@
   shared_store::PositionCheck check(const Position& requested,
                                     const std::vector<shared_store::Change>& changes);
   /// The store no longer keeps the change at the position.
-  void forget_position() { position_at_failure_.reset(); }
+  void forget_position() { position_to_verify_.reset(); }
   /// Returns whether a poll has failed and the view has not been known to match the store since.
-  bool is_pending() const { return failed_at_.has_value(); }
+  bool is_pending() const { return unverified_since_.has_value(); }
 
  private:
-  std::optional<MonotonicTime> failed_at_;
+  std::optional<MonotonicTime> unverified_since_;
   /// Position when a poll first failed; reset when a poll is answered.
-  Position position_at_failure_;
+  Position position_to_verify_;
 };
 
 }  // namespace ochrespring::discovery
--- a/src/discovery/fleet_lister.cc
+++ b/src/discovery/fleet_lister.cc
@@ -11,7 +11,7 @@
 using shared_store::ListPage;
 using shared_store::StoreError;
 
-void FleetLister::start(const std::vector<std::string>& boundaries, Done done) {
+void FleetLister::start(const std::vector<std::string>& boundaries, ListingCallback done) {
   run_ = std::make_shared<Run>();
   run_->done = std::move(done);
   run_->ranges.resize(boundaries.size() + 1);
@@ -26,7 +26,7 @@
   }
 }
 
-void FleetLister::resume(ListPage first, Done done) {
+void FleetLister::resume(ListPage first, ListingCallback done) {
   run_ = std::make_shared<Run>();
   run_->done = std::move(done);
   run_->revision = first.revision;
@@ -53,7 +53,7 @@
   Range& range = run->ranges[index];
   range.failed_attempts = 0;
   if (run->revision && run->revision->era() != page.revision.era()) {
-    fail_run(run, {shared_store::StoreErrc::kNotDone,
+    fail_run(run, {shared_store::StoreErrc::kNotExecuted,
                    "the store was restored from an older copy between two pages"});
     return;
   }
--- a/src/discovery/fleet_lister.h
+++ b/src/discovery/fleet_lister.h
@@ -19,16 +19,17 @@
 /// is retried; the pages before it are kept. Runs one listing at a time on one event loop.
 class FleetLister {
  public:
-  using Done = std::function<void(Result<shared_store::Listing, shared_store::StoreError>)>;
+  using ListingCallback =
+      std::function<void(Result<shared_store::Listing, shared_store::StoreError>)>;
 
   FleetLister(shared_store::SharedStore& store, TimerService& timers)
       : store_(store), timers_(timers) {}
 
   /// Starts listing all keys. `boundaries` are sorted keys at which one range ends and the next one
   /// begins; empty means a single range. Cancels a listing that is running.
-  void start(const std::vector<std::string>& boundaries, Done done);
+  void start(const std::vector<std::string>& boundaries, ListingCallback done);
   /// Continues a listing after a first page that has already been read.
-  void resume(shared_store::ListPage first, Done done);
+  void resume(shared_store::ListPage first, ListingCallback done);
   /// Cancels the running listing, if any; its callback is not called.
   void stop() { run_.reset(); }
   bool running() const { return run_ != nullptr; }
@@ -50,7 +51,7 @@
     std::vector<Range> ranges;
     std::size_t unfinished = 0;
     std::optional<shared_store::StoreRevision> revision;  ///< The oldest of all pages.
-    Done done;
+    ListingCallback done;
   };
 
   void read(const std::shared_ptr<Run>& run, std::size_t index);
--- a/src/discovery/fleet_watcher.cc
+++ b/src/discovery/fleet_watcher.cc
@@ -19,7 +19,7 @@
 /// Number of consecutive polls without history that a follower leaves to the readers before it
 /// lists the store itself. Two seconds have passed by then, in which the readers have either
 /// announced their listing or terminated.
-constexpr std::uint32_t kPollsLeftToReaders = 4;
+constexpr std::uint32_t kMaxFollowerPollsBeforeListing = 4;
 
 }  // namespace
 
@@ -44,15 +44,15 @@
       timer_(deps.timers),
       peer_timer_(deps.timers),
       configuration_timer_(deps.timers),
-      refresh_waiters_(deps.clock, deps.timers, settings_.refresh_timeout,
-                       [this] { poll_is_slow_ = polling_; }) {}
+      configuration_waiters_(deps.clock, deps.timers, settings_.refresh_timeout,
+                             [this] { poll_is_slow_ = polling_; }) {}
 
 void FleetWatcher::start() {
   poll();
   schedule_peer_request();
 }
 
-void FleetWatcher::refresh(std::function<void(bool current)> done) {
+void FleetWatcher::refresh_configuration(std::function<void(bool current)> done) {
   const MonotonicTime now = deps_.clock.now();
   if (configuration_current_at_ && now - *configuration_current_at_ < settings_.max_refresh_age) {
     done(true);
@@ -65,7 +65,7 @@
     done(false);
     return;
   }
-  refresh_waiters_.add(std::move(done));
+  configuration_waiters_.add(std::move(done));
   if (!polling_) {
     timer_.disarm();
     poll();
@@ -147,7 +147,7 @@
   ++statistics_.listings;
   const std::size_t ranges =
       std::clamp<std::size_t>(fleet_.backends().size() / kBackendsPerRange, 1, kMaxRanges);
-  lister_.start(writer_.split_points(ranges),
+  lister_.start(writer_.range_boundaries(ranges),
                 [this](const ListingResult& listing) { handle_listing(listing); });
 }
 
@@ -241,7 +241,7 @@
     begin_era();
     return;
   }
-  const auto begin = history_.begin();
+  const auto begin = history_.first_needed_revision();
   if (era_uncertain && newest == shared_store::PositionCheck::kSame && begin && *begin < after) {
     verify_history(*begin);
     return;
@@ -321,7 +321,7 @@
   } else if (fleet_.backends().size() >= kBackendsPerRange) {
     read_configuration();
   }
-  if (follows && failed_in_row_ < kPollsLeftToReaders) {
+  if (follows && failed_in_row_ < kMaxFollowerPollsBeforeListing) {
     finish_poll(PollResult::kStale, poll_started_at_, "");
   } else {
     list_all();
@@ -357,7 +357,7 @@
 void FleetWatcher::broadcast_poll() {
   const Duration period = reading_assignment().role == ReadingRole::kReader
                               ? settings_.reader_period
-                              : settings_.period;
+                              : settings_.symmetric_period;
   const bool recently_updated =
       update_received_at_ && deps_.clock.now() - *update_received_at_ < period / 2;
   if (!broadcast_update_ || recently_updated) {
@@ -441,9 +441,10 @@
   }
   listing_required_ = true;
   if (!polling_) {
-    timer_.arm(follows ? settings_.period / 2 + deps_.random.part_of(settings_.period)
-                       : deps_.random.part_of(settings_.relist_spread),
-               [this] { poll(); });
+    timer_.arm(
+        follows ? settings_.symmetric_period / 2 + deps_.random.part_of(settings_.symmetric_period)
+                : deps_.random.part_of(settings_.relist_spread),
+        [this] { poll(); });
   }
 }
 
@@ -468,7 +469,8 @@
   // A poll that started long ago says nothing about the present. Either this node was suspended
   // meanwhile and a second poll is quicker, or the store is slow.
   const bool too_old = now - as_of >= settings_.max_refresh_age;
-  if (success && too_old && !refresh_waiters_.empty() && !std::exchange(polled_again_, true)) {
+  if (success && too_old && !configuration_waiters_.empty() &&
+      !std::exchange(polled_again_, true)) {
     timer_.disarm();
     poll();
     return;
@@ -478,7 +480,7 @@
     // read_configuration() is running and completes the waiting refreshes.
     return;
   }
-  refresh_waiters_.complete(success && !too_old);
+  configuration_waiters_.complete(success && !too_old);
 }
 
 void FleetWatcher::note_store_state(bool reachable, std::string_view detail) {
@@ -582,8 +584,8 @@
   }
   notify_covered();
   note_configuration_current(at);
-  if (current_callback_) {
-    current_callback_();
+  if (view_current_callback_) {
+    view_current_callback_();
   }
 }
 
@@ -594,8 +596,8 @@
   }
   configuration_current_at_ = at;
   configuration_timer_.disarm();
-  if (!refresh_waiters_.empty() && deps_.clock.now() - at < settings_.max_refresh_age) {
-    refresh_waiters_.complete(true);
+  if (!configuration_waiters_.empty() && deps_.clock.now() - at < settings_.max_refresh_age) {
+    configuration_waiters_.complete(true);
   }
 }
 
--- a/src/discovery/fleet_watcher.h
+++ b/src/discovery/fleet_watcher.h
@@ -9,13 +9,13 @@
 #include "base/random.h"
 #include "base/time.h"
 #include "base/timer.h"
+#include "discovery/configuration_waiters.h"
 #include "discovery/era_check.h"
 #include "discovery/fleet_codec.h"
 #include "discovery/fleet_lister.h"
 #include "discovery/known_history.h"
 #include "discovery/node_directory.h"
 #include "discovery/poll_schedule.h"
-#include "discovery/refresh_waiters.h"
 #include "discovery/view_fetcher.h"
 #include "discovery/view_transfer.h"
 #include "discovery/view_update.h"
@@ -84,7 +84,7 @@
   /// Calls back with true once the configuration is known to be current, or with false if that
   /// cannot be determined soon. Fails immediately if the last poll failed or the running one is
   /// slow.
-  void refresh(std::function<void(bool current)> done);
+  void refresh_configuration(std::function<void(bool current)> done);
   /// Applies another node's update. `on_covered`, if given, is called once this node's view is at
   /// least as new as the update: immediately, after a fetch, or never if a newer update arrives
   /// first.
@@ -144,9 +144,11 @@
   /// be lost.
   void on_new_era(std::function<void()> callback) { new_era_callback_ = std::move(callback); }
   /// Sets the callback for each successful poll and each applied update.
-  void on_current(std::function<void()> callback) { current_callback_ = std::move(callback); }
+  void on_view_current(std::function<void()> callback) {
+    view_current_callback_ = std::move(callback);
+  }
   /// Returns the configuration document as stored; empty if there is none yet.
-  const std::string& configuration_in_force() const { return writer_.configuration(); }
+  const std::string& configuration_in_force() const { return writer_.configuration_in_force(); }
   const FleetWatcherStatistics& statistics() const { return statistics_; }
   std::uint64_t rejected_values() const { return writer_.rejected_values(); }
 
@@ -243,8 +245,8 @@
   std::optional<shared_store::ListPage> first_page_;
   std::optional<bool> store_reachable_;  ///< Result of the last poll; nullopt before the first.
   std::optional<shared_store::StoreEra> era_;  ///< Era of the view; nullopt before the first view.
-  RefreshWaiters refresh_waiters_;
-  std::function<void()> current_callback_;
+  ConfigurationWaiters configuration_waiters_;
+  std::function<void()> view_current_callback_;
   std::function<void()> new_era_callback_;
   std::function<void()> first_listing_callback_;
   std::function<void(const ViewUpdate&)> broadcast_update_;
--- a/src/discovery/known_history.cc
+++ b/src/discovery/known_history.cc
@@ -21,11 +21,11 @@
   std::erase_if(entries_, [&](const Entry& entry) {
     const StoreRevision after = entry.span.after;
     return now - entry.recorded_at > kRetention || after.era() != seen.era() ||
-           (after < seen && seen.value() - after.value() > kMaxChanges);
+           (after < seen && seen.value() - after.value() > kMaxRevisionDistance);
   });
 }
 
-std::optional<StoreRevision> KnownHistory::begin() const {
+std::optional<StoreRevision> KnownHistory::first_needed_revision() const {
   std::optional<StoreRevision> first;
   for (const Entry& entry : entries_) {
     first = first ? std::min(*first, entry.span.after) : entry.span.after;
--- a/src/discovery/known_history.h
+++ b/src/discovery/known_history.h
@@ -21,7 +21,7 @@
   void trim(MonotonicTime now, shared_store::StoreRevision seen);
   /// Returns the revision to poll from so that the answer covers all recorded spans; nullopt if
   /// there are none.
-  std::optional<shared_store::StoreRevision> begin() const;
+  std::optional<shared_store::StoreRevision> first_needed_revision() const;
   /// Returns whether `changes`, which must be all changes after `after`, contradict a recorded
   /// span, which means that the store was restored from an older copy.
   bool contradicts(shared_store::StoreRevision after,
@@ -32,7 +32,7 @@
   static constexpr Duration kRetention{std::chrono::seconds(15)};
   /// Limits the answer to a poll after an outage to about 1 MB: 10,000 servers write about 8,000
   /// changes per second.
-  static constexpr std::uint64_t kMaxChanges = 4'096;
+  static constexpr std::uint64_t kMaxRevisionDistance = 4'096;
   static constexpr std::size_t kMaxSpans = 64;
 
   struct Entry {
--- a/src/discovery/listing_comparison.cc
+++ b/src/discovery/listing_comparison.cc
@@ -5,13 +5,14 @@
 
 namespace ochrespring::discovery {
 
-ListingComparison::ListingComparison(shared_store::StoreRevision listed,
-                                     shared_store::StoreRevision known, const ChangeLog& log)
-    : listed_(listed), known_(known) {
-  if (listed >= known) {
+ListingComparison::ListingComparison(shared_store::StoreRevision listed_revision,
+                                     shared_store::StoreRevision known_revision,
+                                     const ChangeLog& log)
+    : listed_revision_(listed_revision), known_revision_(known_revision) {
+  if (listed_revision >= known_revision) {
     return;
   }
-  for (const ViewChange& change : log.changes_since(listed)) {
+  for (const ViewChange& change : log.changes_since(listed_revision)) {
     if (const auto* backend = std::get_if<BackendChange>(&change)) {
       newer_backends_.insert(backend->id);
     } else {
@@ -22,7 +23,7 @@
 
 shared_store::StoreRevision ListingComparison::reported_revision(
     shared_store::StoreRevision revision) const {
-  return revision > known_ ? std::min(revision, listed_) : listed_;
+  return revision > known_revision_ ? std::min(revision, listed_revision_) : listed_revision_;
 }
 
 bool ListingComparison::add_backend(const gateway::Backend& backend,
@@ -53,12 +54,12 @@
                                                   const NodeDirectory& nodes) {
   for (const auto& [id, backend] : fleet.backends()) {
     if (!listed_backends_.contains(id) && !newer_backends_.contains(id)) {
-      changes_.emplace_back(BackendChange{listed_, id, std::nullopt});
+      changes_.emplace_back(BackendChange{listed_revision_, id, std::nullopt});
     }
   }
   for (const auto& [id, record] : nodes.others()) {
     if (!listed_nodes_.contains(id) && !newer_nodes_.contains(id)) {
-      changes_.emplace_back(NodeChange{listed_, id, std::nullopt});
+      changes_.emplace_back(NodeChange{listed_revision_, id, std::nullopt});
     }
   }
   std::stable_sort(changes_.begin(), changes_.end(),
--- a/src/discovery/listing_comparison.h
+++ b/src/discovery/listing_comparison.h
@@ -21,8 +21,8 @@
  public:
   /// The listing began at `listed`; the view is complete up to `known`, and `log` contains the
   /// changes received since the listing began.
-  ListingComparison(shared_store::StoreRevision listed, shared_store::StoreRevision known,
-                    const ChangeLog& log);
+  ListingComparison(shared_store::StoreRevision listed_revision,
+                    shared_store::StoreRevision known_revision, const ChangeLog& log);
 
   /// Adds a listed back end last changed at `revision`. Returns whether it differs from the view.
   bool add_backend(const gateway::Backend& backend, shared_store::StoreRevision revision,
@@ -38,8 +38,8 @@
   /// listing adds to the view, so nodes that have seen as much as this one apply it.
   shared_store::StoreRevision reported_revision(shared_store::StoreRevision revision) const;
 
-  shared_store::StoreRevision listed_;
-  shared_store::StoreRevision known_;
+  shared_store::StoreRevision listed_revision_;
+  shared_store::StoreRevision known_revision_;
   std::set<gateway::BackendId> newer_backends_;  ///< Received since the listing began.
   std::set<NodeId> newer_nodes_;
   std::set<gateway::BackendId> listed_backends_;
--- a/src/discovery/node_directory.cc
+++ b/src/discovery/node_directory.cc
@@ -6,22 +6,23 @@
 
 namespace ochrespring::discovery {
 
-void NodeDirectory::put(const NodeRecord& record, shared_store::StoreRevision registered) {
+void NodeDirectory::put(const NodeRecord& record,
+                        shared_store::StoreRevision registration_revision) {
   if (record == self_) {
-    own_registration_revision_ = std::max(own_registration_revision_, registered);
+    own_registration_revision_ = std::max(own_registration_revision_, registration_revision);
   }
   if (record.node == self_.node) {
     return;
   }
-  if (has_left(record.node, registered)) {
-    if (registered == shared_store::StoreRevision()) {
-      deferred_[record.node] = record;
+  if (has_left(record.node, registration_revision)) {
+    if (registration_revision == shared_store::StoreRevision()) {
+      deferred_nodes_[record.node] = record;
     }
     return;
   }
-  deferred_.erase(record.node);
+  deferred_nodes_.erase(record.node);
   leaving_nodes_.erase(record.node);
-  registered_[record.node] = registered;
+  registration_revisions_[record.node] = registration_revision;
   removed_nodes_.erase(record.node);
   NodeRecord& known = others_[record.node];
   if (known != record) {
@@ -30,18 +31,18 @@
   }
 }
 
-void NodeDirectory::readmit_deferred() {
-  for (const auto& [node, record] : std::exchange(deferred_, {})) {
+void NodeDirectory::add_deferred_nodes() {
+  for (const auto& [node, record] : std::exchange(deferred_nodes_, {})) {
     put(record);
   }
 }
 
 void NodeDirectory::remove(const NodeId& node) {
-  deferred_.erase(node);
+  deferred_nodes_.erase(node);
   std::erase_if(removed_nodes_, [this](const auto& entry) {
     return clock_.now() - entry.second.removed_at >= kRemovedNodeRetention;
   });
-  registered_.erase(node);
+  registration_revisions_.erase(node);
   auto known = others_.extract(node);
   if (!known.empty()) {
     removed_nodes_[node] = {std::move(known.mapped()), clock_.now()};
@@ -49,9 +50,11 @@
   }
 }
 
-void NodeDirectory::note_leaving(const NodeId& node, shared_store::StoreRevision registered) {
-  const auto known = registered_.find(node);
-  const bool restarted = known != registered_.end() && known->second > registered;
+void NodeDirectory::note_leaving(const NodeId& node,
+                                 shared_store::StoreRevision registration_revision) {
+  const auto known = registration_revisions_.find(node);
+  const bool restarted =
+      known != registration_revisions_.end() && known->second > registration_revision;
   if (restarted || node == self_.node) {
     return;
   }
@@ -59,14 +62,16 @@
                 [this](const auto& entry) { return entry.second.until <= clock_.now(); });
   // Notices may arrive out of order; the one with the newest registration counts.
   LeavingNode& leaving = leaving_nodes_[node];
-  leaving.registered = std::max(leaving.registered, registered);
+  leaving.registration_revision = std::max(leaving.registration_revision, registration_revision);
   leaving.until = clock_.now() + kLeavingNodeRetention;
   remove(node);
 }
 
-bool NodeDirectory::has_left(const NodeId& node, shared_store::StoreRevision registered) const {
+bool NodeDirectory::has_left(const NodeId& node,
+                             shared_store::StoreRevision registration_revision) const {
   const auto leaving = leaving_nodes_.find(node);
-  return leaving != leaving_nodes_.end() && registered <= leaving->second.registered &&
+  return leaving != leaving_nodes_.end() &&
+         registration_revision <= leaving->second.registration_revision &&
          clock_.now() < leaving->second.until;
 }
 
@@ -76,8 +81,8 @@
   for (auto& [node, record] : std::exchange(others_, {})) {
     removed_nodes_[node] = {std::move(record), clock_.now()};
   }
-  registered_.clear();
-  deferred_.clear();
+  registration_revisions_.clear();
+  deferred_nodes_.clear();
   for (const NodeRecord& record : records) {
     put(record, record == self_ ? as_of : shared_store::StoreRevision());
   }
--- a/src/discovery/node_directory.h
+++ b/src/discovery/node_directory.h
@@ -20,24 +20,24 @@
   NodeDirectory(const Clock& clock, NodeRecord self)
       : clock_(clock), self_(std::move(self)), started_(clock.now()) {}
 
-  /// `registered` is the revision of the registration; zero if unknown. This node's own record
-  /// reveals its last registration, whose answer from the store may have been lost.
-  void put(const NodeRecord& record, shared_store::StoreRevision registered = {});
+  /// `registration_revision` is the revision of the registration; zero if unknown. This node's own
+  /// record reveals its last registration, whose answer from the store may have been lost.
+  void put(const NodeRecord& record, shared_store::StoreRevision registration_revision = {});
   /// Removes a node that has left or whose lease has expired.
   void remove(const NodeId& node);
   /// Handles a node's notice that it accepts no more requests. The node is no longer advertised
   /// even if the store, unreachable or restored from an older copy, still lists the registration
-  /// made at `registered`. A later registration belongs to a process started since.
-  void note_leaving(const NodeId& node, shared_store::StoreRevision registered);
+  /// made at `registration_revision`. A later registration belongs to a process started since.
+  void note_leaving(const NodeId& node, shared_store::StoreRevision registration_revision);
   /// Returns whether the registration belongs to a process that has announced that it leaves.
-  bool has_left(const NodeId& node, shared_store::StoreRevision registered) const;
+  bool has_left(const NodeId& node, shared_store::StoreRevision registration_revision) const;
   /// Replaces all nodes by those of a complete view that matched the store at `as_of`; zero if
   /// unknown.
   void replace(const std::vector<NodeRecord>& records, shared_store::StoreRevision as_of = {});
   /// Re-adds the nodes of a complete view that had announced that they leave. Such a view does not
   /// contain the revisions of the registrations, so these nodes count again once the notice is too
   /// old to be from their current process.
-  void readmit_deferred();
+  void add_deferred_nodes();
   void leave() {
     leaving_ = true;
     ++version_;
@@ -89,14 +89,15 @@
     MonotonicTime removed_at{};  ///< When the registration was removed.
   };
   std::map<NodeId, RemovedNode> removed_nodes_;
-  std::map<NodeId, shared_store::StoreRevision> registered_;  ///< Of other nodes, if known.
+  std::map<NodeId, shared_store::StoreRevision>
+      registration_revisions_;  ///< Of other nodes, if known.
   struct LeavingNode {
-    shared_store::StoreRevision registered;
+    shared_store::StoreRevision registration_revision;
     MonotonicTime until{};
   };
   std::map<NodeId, LeavingNode> leaving_nodes_;
   /// Nodes registered at an unknown revision after announcing that they leave.
-  std::map<NodeId, NodeRecord> deferred_;
+  std::map<NodeId, NodeRecord> deferred_nodes_;
   shared_store::StoreRevision own_registration_revision_;
   bool leaving_ = false;
   std::uint64_t version_ = 1;
--- a/src/discovery/node_registration.cc
+++ b/src/discovery/node_registration.cc
@@ -27,14 +27,14 @@
       timer_(timers) {}
 
 void NodeRegistration::start() {
-  grant();
+  request_lease();
 }
 
-void NodeRegistration::grant() {
+void NodeRegistration::request_lease() {
   if (left_) {
     return;
   }
-  published_ = false;
+  record_written_ = false;
   lease_lost_ = false;
   store_.grant_lease(settings_.time_to_live, [this](auto result) {
     if (!result) {
@@ -46,11 +46,11 @@
       leave();
       return;
     }
-    publish();
+    write_record();
   });
 }
 
-void NodeRegistration::publish() {
+void NodeRegistration::write_record() {
   store_.put(settings_.key, value_, lease_, [this](auto result) {
     if (!result) {
       if (result.error().code == StoreErrc::kNotFound) {
@@ -60,8 +60,8 @@
       return;
     }
     failed_in_row_ = 0;
-    published_ = true;
-    registered_ = result.value();
+    record_written_ = true;
+    registration_revision_ = result.value();
     logger_.write(
         {logging::Level::kInfo,
          "discovery",
@@ -89,7 +89,7 @@
   store_.renew_lease(*lease_, [this](auto result) {
     if (!result && result.error().code == StoreErrc::kNotFound) {
       lease_.reset();
-      grant();
+      request_lease();
       return;
     }
     if (!result) {
@@ -114,9 +114,9 @@
   }
   timer_.arm(delay, [this] {
     if (!lease_ || lease_lost_) {
-      grant();
-    } else if (!published_) {
-      publish();
+      request_lease();
+    } else if (!record_written_) {
+      write_record();
     } else {
       renew();
     }
--- a/src/discovery/node_registration.h
+++ b/src/discovery/node_registration.h
@@ -40,11 +40,11 @@
   void leave();
 
   /// Returns the revision of the last registration; zero if there was none.
-  shared_store::StoreRevision registered() const { return registered_; }
+  shared_store::StoreRevision registration_revision() const { return registration_revision_; }
 
  private:
-  void grant();
-  void publish();
+  void request_lease();
+  void write_record();
   void renew();
   void end_lease();
   void schedule(Duration delay);
@@ -57,9 +57,9 @@
   std::string value_;
   Timer timer_;
   std::optional<shared_store::LeaseId> lease_;
-  shared_store::StoreRevision registered_;
+  shared_store::StoreRevision registration_revision_;
   std::uint32_t failed_in_row_ = 0;  ///< Consecutive failed calls.
-  bool published_ = false;
+  bool record_written_ = false;
   /// The store was restored from an older copy and may have lost the lease.
   bool lease_lost_ = false;
   bool left_ = false;
--- a/src/discovery/poll_schedule.cc
+++ b/src/discovery/poll_schedule.cc
@@ -40,8 +40,8 @@
 FleetWatcherSettings settings_for_staleness_bound(Duration bound) {
   const double seconds = to_seconds(bound);
   FleetWatcherSettings settings;
-  settings.period = from_seconds(kPeriodFraction * seconds);
-  settings.spread = from_seconds(kSpreadFraction * seconds);
+  settings.symmetric_period = from_seconds(kPeriodFraction * seconds);
+  settings.random_spread = from_seconds(kSpreadFraction * seconds);
   settings.reader_period = from_seconds(kReaderPeriodFraction * seconds);
   settings.reader_stagger = from_seconds(kReaderStaggerFraction * seconds);
   settings.follower_period = from_seconds(kFollowerPeriodFraction * seconds);
@@ -60,13 +60,13 @@
   switch (assignment.role) {
     case ReadingRole::kReader:
       return std::min(settings.reader_period + assignment.rank * settings.reader_stagger,
-                      settings.period);
+                      settings.symmetric_period);
     case ReadingRole::kFollower:
-      return settings.follower_period + poll_spread_delay(settings.spread, nodes, uniform);
+      return settings.follower_period + poll_spread_delay(settings.random_spread, nodes, uniform);
     case ReadingRole::kSymmetric:
       break;
   }
-  return settings.period + poll_spread_delay(settings.spread, nodes, uniform);
+  return settings.symmetric_period + poll_spread_delay(settings.random_spread, nodes, uniform);
 }
 
 Duration failed_poll_delay(const FleetWatcherSettings& settings, std::uint32_t failed,
--- a/src/discovery/poll_schedule.h
+++ b/src/discovery/poll_schedule.h
@@ -26,8 +26,9 @@
 
 struct FleetWatcherSettings {
   /// Minimum time between two polls of a kSymmetric node.
-  Duration period{std::chrono::milliseconds(1000)};
-  Duration spread{std::chrono::milliseconds(450)};  ///< Range of the random delay added to it.
+  Duration symmetric_period{std::chrono::milliseconds(1000)};
+  Duration random_spread{
+      std::chrono::milliseconds(450)};  ///< Range of the random delay added to it.
   /// Between two polls of the first reader; its findings reach all nodes about 10 ms later.
   Duration reader_period{std::chrono::milliseconds(250)};
   /// Additional delay of each further reader: long enough to receive the result of the preceding
@@ -43,7 +44,7 @@
   /// once.
   Duration fetch_spread{std::chrono::milliseconds(100)};
   /// Minimum time between two fetches of changes. Complete views are large: at least half of
-  /// `period` passes between them.
+  /// `symmetric_period` passes between them.
   Duration fetch_interval{std::chrono::milliseconds(500)};
   /// Before a peer is asked for its view.
   Duration peer_request_delay{std::chrono::milliseconds(250)};
--- a/src/discovery/tests/discovery_test.cc
+++ b/src/discovery/tests/discovery_test.cc
@@ -125,11 +125,11 @@
   fixture.watcher.start();
   fixture.list(10, {make_change("config", "3", 4)});
   fixture.advance(500ms);
-  fixture.watcher.refresh([](bool) {});
-  take(fixture.store.changes_calls).done(fail(StoreErrc::kNotDone, "down"));
+  fixture.watcher.refresh_configuration([](bool) {});
+  take(fixture.store.changes_calls).done(fail(StoreErrc::kNotExecuted, "down"));
   for (int i = 0; i != 20; ++i) {
     std::optional<bool> current;
-    fixture.watcher.refresh([&](bool outcome) { current = outcome; });
+    fixture.watcher.refresh_configuration([&](bool outcome) { current = outcome; });
     CHECK(current == false);
   }
   CHECK(fixture.store.changes_calls.empty());
@@ -139,7 +139,7 @@
   REQUIRE(fixture.store.changes_calls.size() == 1);
   // The poll that is running anyway may provide the answer.
   std::optional<bool> current;
-  fixture.watcher.refresh([&](bool outcome) { current = outcome; });
+  fixture.watcher.refresh_configuration([&](bool outcome) { current = outcome; });
   CHECK_FALSE(current);
   // Nothing shows that the store is in the same era after the outage, so it is listed.
   fixture.answer({});
@@ -154,17 +154,17 @@
   fixture.list(10, {make_change("config", "3", 4)});
   fixture.advance(500ms);
   std::optional<bool> current;
-  fixture.watcher.refresh([&](bool outcome) { current = outcome; });
+  fixture.watcher.refresh_configuration([&](bool outcome) { current = outcome; });
   REQUIRE(fixture.store.changes_calls.size() == 1);
   CHECK_FALSE(current);
   fixture.answer({});
   CHECK(current == true);
   current.reset();
-  fixture.watcher.refresh([&](bool outcome) { current = outcome; });
+  fixture.watcher.refresh_configuration([&](bool outcome) { current = outcome; });
   CHECK(current == true);
   fixture.advance(500ms);
-  fixture.watcher.refresh([&](bool outcome) { current = outcome; });
-  take(fixture.store.changes_calls).done(fail(StoreErrc::kNotDone, "down"));
+  fixture.watcher.refresh_configuration([&](bool outcome) { current = outcome; });
+  take(fixture.store.changes_calls).done(fail(StoreErrc::kNotExecuted, "down"));
   CHECK(current == false);
 }
 
@@ -294,7 +294,8 @@
   CHECK(fixture.store.renewals.empty());
   take(fixture.store.grants)(LeaseId(7));
   take(fixture.store.puts).done(StoreRevision(2, shared_store::StoreEra(1)));
-  CHECK(fixture.registration.registered() == StoreRevision(2, shared_store::StoreEra(1)));
+  CHECK(fixture.registration.registration_revision() ==
+        StoreRevision(2, shared_store::StoreEra(1)));
 }
 
 TEST_CASE("a restore of the store during a renewal leads to a new registration after it") {
@@ -326,7 +327,7 @@
   while (fixture.time.now() < outage_ends) {
     if (!fixture.store.grants.empty()) {
       ++calls;
-      take(fixture.store.grants)(fail(StoreErrc::kNotDone, "busy"));
+      take(fixture.store.grants)(fail(StoreErrc::kNotExecuted, "busy"));
     }
     fixture.advance(10ms);
   }
@@ -337,7 +338,7 @@
   take(fixture.store.grants)(LeaseId(7));
   take(fixture.store.puts).done(StoreRevision(3));
   fixture.advance(1100ms);
-  take(fixture.store.renewals)(fail(StoreErrc::kNotDone, "busy"));
+  take(fixture.store.renewals)(fail(StoreErrc::kNotExecuted, "busy"));
   fixture.advance(410ms);
   CHECK(fixture.store.renewals.size() == 1);
 }
@@ -357,7 +358,7 @@
   fixture.watcher.start();
   fixture.list(10, {make_change("config", "3", 4)});
   fixture.advance(2s);
-  take(fixture.store.changes_calls).done(fail(StoreErrc::kNotDone, "down"));
+  take(fixture.store.changes_calls).done(fail(StoreErrc::kNotExecuted, "down"));
   fixture.advance(1s);
   REQUIRE(fixture.store.changes_calls.size() == 1);
   fixture.answer({make_change("config", "4", 11)});
--- a/src/discovery/tests/known_history_test.cc
+++ b/src/discovery/tests/known_history_test.cc
@@ -35,10 +35,10 @@
 
 TEST_CASE("history begins at its oldest span, and a replaced change in any span is detected") {
   KnownHistory history;
-  CHECK_FALSE(history.begin());
+  CHECK_FALSE(history.first_needed_revision());
   history.note(span(6, 7), at(1s));
   history.note(span(4, 6), at(2s));
-  CHECK(history.begin() == StoreRevision(4));
+  CHECK(history.first_needed_revision() == StoreRevision(4));
   CHECK_FALSE(history.contradicts(StoreRevision(4),
                                   {change_at(5, "v"), change_at(6, "v"), change_at(7, "v")}));
   CHECK(history.contradicts(StoreRevision(4),
@@ -56,13 +56,13 @@
   history.note(span(4, 6), at(1s));
   history.note(span(6, 8), at(10s));
   history.trim(at(17s), StoreRevision(8));
-  CHECK(history.begin() == StoreRevision(6));
+  CHECK(history.first_needed_revision() == StoreRevision(6));
   history.trim(at(17s), StoreRevision(5000));
-  CHECK_FALSE(history.begin());
+  CHECK_FALSE(history.first_needed_revision());
   for (std::uint64_t i = 0; i != 1000; ++i) {
     history.note(span(i, i + 1), at(20s));
   }
-  CHECK(history.begin() == StoreRevision(936));
+  CHECK(history.first_needed_revision() == StoreRevision(936));
 }
 
 TEST_CASE("spans of another era and invalid spans are not compared") {
@@ -71,12 +71,12 @@
   history.note({.after = StoreRevision(9), .through = StoreRevision(4), .digest = 1}, at(1s));
   history.note({.after = StoreRevision(9), .through = StoreRevision(4, StoreEra(1)), .digest = 1},
                at(1s));
-  CHECK_FALSE(history.begin());
+  CHECK_FALSE(history.first_needed_revision());
   history.note({.after = StoreRevision(1, StoreEra(1)),
                 .through = StoreRevision(3, StoreEra(1)),
                 .digest = 1},
                at(1s));
   CHECK_FALSE(history.contradicts(StoreRevision(0), {change_at(5, "v")}));
   history.trim(at(1s), StoreRevision(5));
-  CHECK_FALSE(history.begin());
+  CHECK_FALSE(history.first_needed_revision());
 }
--- a/src/discovery/tests/node_directory_test.cc
+++ b/src/discovery/tests/node_directory_test.cc
@@ -100,7 +100,7 @@
   directory.replace({make_record(0), make_record(1)}, shared_store::StoreRevision(94));
   CHECK(directory.count() == 1);
   time.run_until(time.now() + std::chrono::seconds(16));
-  directory.readmit_deferred();
+  directory.add_deferred_nodes();
   CHECK(directory.count() == 2);
 }
 
@@ -110,10 +110,10 @@
   directory.put(make_record(1), shared_store::StoreRevision(74));
   directory.note_leaving(NodeId("front-1"), shared_store::StoreRevision(74));
   directory.replace({make_record(0), make_record(1)}, shared_store::StoreRevision(94));
-  directory.readmit_deferred();
+  directory.add_deferred_nodes();
   CHECK(directory.count() == 1);
   directory.remove(NodeId("front-1"));
   time.run_until(time.now() + std::chrono::seconds(16));
-  directory.readmit_deferred();
+  directory.add_deferred_nodes();
   CHECK(directory.count() == 1);
 }
--- a/src/discovery/tests/poll_schedule_test.cc
+++ b/src/discovery/tests/poll_schedule_test.cc
@@ -31,7 +31,7 @@
     last = wait;
   }
   // Regardless of the number of zones, the last reader still polls in time.
-  CHECK(poll_delay(settings, reader(200), 985, 0.5) <= settings.period);
+  CHECK(poll_delay(settings, reader(200), 985, 0.5) <= settings.symmetric_period);
 }
 
 TEST_CASE("a fleet of any size has time to list the store and to retry") {
--- a/src/discovery/tests/shared_polls_test.cc
+++ b/src/discovery/tests/shared_polls_test.cc
@@ -37,7 +37,7 @@
 /// A store that keeps its state at each revision and can be restored to it.
 class VersionedStore {
  public:
-  VersionedStore() { past_[now_] = {}; }
+  VersionedStore() { states_[now_] = {}; }
 
   void write(const std::string& backend, std::optional<bool> draining) {
     now_ = now_.next();
@@ -47,16 +47,16 @@
       state_.view.erase(backend);
     }
     state_.written[backend] = now_.value();
-    past_[now_] = state_;
+    states_[now_] = state_;
   }
   /// Restores the state before the last `changes` changes and begins a new era.
   void restore(std::uint64_t changes) {
     const std::uint64_t number = now_.value() - std::min(changes, now_.value());
-    state_ = past_.at(StoreRevision(number, now_.era()));
+    state_ = states_.at(StoreRevision(number, now_.era()));
     const shared_store::StoreEra era = now_.era().next();
     // The history of the previous era up to there is part of the new one.
     for (std::uint64_t i = 0; i <= number; ++i) {
-      past_[StoreRevision(i, era)] = past_.at(StoreRevision(i, now_.era()));
+      states_[StoreRevision(i, era)] = states_.at(StoreRevision(i, now_.era()));
     }
     now_ = StoreRevision(number, era);
   }
@@ -86,8 +86,8 @@
     }
     return changes;
   }
-  const View& at(StoreRevision revision) const { return past_.at(revision).view; }
-  const View& list_view() const { return state_.view; }
+  const View& at(StoreRevision revision) const { return states_.at(revision).view; }
+  const View& current_view() const { return state_.view; }
 
  private:
   struct State {
@@ -106,7 +106,7 @@
 
   StoreRevision now_;
   State state_;
-  std::map<StoreRevision, State> past_;
+  std::map<StoreRevision, State> states_;
 };
 
 struct ViewingNode {
@@ -229,7 +229,7 @@
               }
             }
           }
-          RC_ASSERT(poller.view() == store.list_view());
+          RC_ASSERT(poller.view() == store.current_view());
       }
       for (const auto& node : nodes) {
         RC_ASSERT(node->view() == store.at(*node->writer.seen_revision()));
@@ -481,13 +481,13 @@
 }
 
 TEST_CASE("a view with a different fingerprint is listed again, also during a poll") {
-  for (const bool under_way : {false, true}) {
+  for (const bool during_poll : {false, true}) {
     SharingFixture fixture;
-    fixture.advance(under_way ? 1500ms : 500ms);
+    fixture.advance(during_poll ? 1500ms : 500ms);
     ViewUpdate update = empty_update(10, 11);
     update.fingerprint = 77;
     fixture.watcher.receive_update(update);
-    if (under_way) {
+    if (during_poll) {
       take(fixture.store.changes_calls).done(Changes{});
     }
     fixture.advance(250ms);
@@ -501,8 +501,9 @@
 TEST_CASE("settings for a staleness bound leave time for a slow answer and a retry") {
   for (const Duration bound : {Duration(2s), Duration(3s), Duration(18s)}) {
     const FleetWatcherSettings settings = settings_for_staleness_bound(bound);
-    CHECK(settings.period + settings.spread + settings.retry_delay < bound * 9 / 10);
-    CHECK(settings.max_refresh_age >= settings.period + settings.spread);
+    CHECK(settings.symmetric_period + settings.random_spread + settings.retry_delay <
+          bound * 9 / 10);
+    CHECK(settings.max_refresh_age >= settings.symmetric_period + settings.random_spread);
     CHECK(settings.max_refresh_age < bound * 8 / 10);
   }
 }
@@ -545,11 +546,11 @@
     REQUIRE(fleet.routes() != nullptr);
     CHECK(fleet.routes()->configuration().version.value() == 3);
     CHECK(fleet.backends().size() == 1);
-    take(store.lists)(fail(StoreErrc::kNotDone, "down"));
+    take(store.lists)(fail(StoreErrc::kNotExecuted, "down"));
     time.run_until(time.now() + 1500ms);
     REQUIRE(store.changes_calls.size() == 1);
     CHECK(store.changes_calls[0].after == StoreRevision(12));
-    take(store.changes_calls).done(fail(StoreErrc::kNotDone, "down"));
+    take(store.changes_calls).done(fail(StoreErrc::kNotExecuted, "down"));
     CHECK(asked.size() == 1);
   }
   SUBCASE("if the store answers first, its view stays") {
@@ -570,7 +571,7 @@
     });
   }
   /// An update that does not connect to this node's view, sent by another node.
-  void receive_unjoinable(std::uint64_t after, const std::string& holder) {
+  void receive_update_after_gap(std::uint64_t after, const std::string& holder) {
     ViewUpdate update = empty_update(after, after + 2);
     update.view_address = Endpoint(holder);
     watcher.receive_update(update, [this] { ++covered; });
@@ -594,7 +595,7 @@
 TEST_CASE("changes that do not connect to the view are fetched from their sender without a poll") {
   FetchingFixture fixture;
   fixture.advance(900ms);
-  fixture.receive_unjoinable(12, "holder");
+  fixture.receive_update_after_gap(12, "holder");
   CHECK(fixture.covered == 0);
   fixture.advance(110ms);
   REQUIRE(fixture.fetches.size() == 1);
@@ -638,14 +639,15 @@
 TEST_CASE("many updates that do not connect cause one fetch, from the newest sender") {
   FetchingFixture fixture;
   for (int i = 0; i != 5; ++i) {
-    fixture.receive_unjoinable(12 + static_cast<std::uint64_t>(i), "holder" + std::to_string(i));
+    fixture.receive_update_after_gap(12 + static_cast<std::uint64_t>(i),
+                                     "holder" + std::to_string(i));
   }
   fixture.advance(110ms);
   REQUIRE(fixture.fetches.size() == 1);
   CHECK(fixture.holders[0] == Endpoint("holder4"));
   // Complete views are large: the next fetch waits for half a period.
   fixture.fetches[0](make_snapshot_at(14, "7"));
-  fixture.receive_unjoinable(20, "holder5");
+  fixture.receive_update_after_gap(20, "holder5");
   fixture.advance(380ms);
   CHECK(fixture.fetches.size() == 1);
   fixture.advance(120ms);
@@ -656,7 +658,7 @@
   for (const bool answers : {false, true}) {
     FetchingFixture fixture;
     fixture.advance(900ms);
-    fixture.receive_unjoinable(12, "holder");
+    fixture.receive_update_after_gap(12, "holder");
     fixture.advance(110ms);
     REQUIRE(fixture.fetches.size() == 1);
     fixture.fetches[0](answers ? std::optional(make_snapshot_at(9, "2")) : std::nullopt);
@@ -674,7 +676,7 @@
   fixture.watcher.receive_update(differing);
   fixture.advance(250ms);
   REQUIRE(fixture.store.lists.size() == 1);
-  fixture.receive_unjoinable(12, "holder");
+  fixture.receive_update_after_gap(12, "holder");
   fixture.advance(110ms);
   REQUIRE(fixture.fetches.size() == 1);
   ViewSnapshot snapshot = make_snapshot_at(14, "7");
@@ -692,24 +694,24 @@
 TEST_CASE("the delay between failed polls grows, and a success resets it") {
   SharingFixture fixture;
   fixture.advance(1500ms);
-  std::vector<MonotonicTime> tries;
+  std::vector<MonotonicTime> attempts;
   for (int i = 0; i != 30; ++i) {
     REQUIRE(fixture.store.changes_calls.size() == 1);
-    tries.push_back(fixture.time.now());
-    take(fixture.store.changes_calls).done(fail(StoreErrc::kNotDone, "down"));
+    attempts.push_back(fixture.time.now());
+    take(fixture.store.changes_calls).done(fail(StoreErrc::kNotExecuted, "down"));
     while (fixture.store.changes_calls.empty()) {
       fixture.advance(10ms);
     }
-    CHECK(fixture.time.now() - tries.back() >= 150ms);
-    CHECK(fixture.time.now() - tries.back() <= 1210ms);
+    CHECK(fixture.time.now() - attempts.back() >= 150ms);
+    CHECK(fixture.time.now() - attempts.back() <= 1210ms);
   }
   // 30 attempts without increasing delays take 9 s at most.
-  CHECK(tries.back() - tries.front() > 12s);
+  CHECK(attempts.back() - attempts.front() > 12s);
   take(fixture.store.changes_calls).done(Changes{});
   take(fixture.store.lists)(Listing{{}, StoreRevision(10)});
   fixture.advance(1500ms);
   REQUIRE(fixture.store.changes_calls.size() == 1);
-  take(fixture.store.changes_calls).done(fail(StoreErrc::kNotDone, "down"));
+  take(fixture.store.changes_calls).done(fail(StoreErrc::kNotExecuted, "down"));
   fixture.advance(610ms);
   CHECK(fixture.store.changes_calls.size() == 1);
 }
--- a/src/discovery/tests/stub_store.h
+++ b/src/discovery/tests/stub_store.h
@@ -73,7 +73,7 @@
     if (accepts_lease_ends) {
       done(lease);
     } else {
-      done(fail(shared_store::StoreErrc::kNotDone, "unreachable"));
+      done(fail(shared_store::StoreErrc::kNotExecuted, "unreachable"));
     }
   }
 
--- a/src/discovery/view_fetcher.cc
+++ b/src/discovery/view_fetcher.cc
@@ -34,9 +34,9 @@
 void ViewFetcher::schedule_fetch(Duration min_delay) {
   Duration wait = min_delay + random_.part_of(settings_.fetch_spread);
   if (last_fetch_started_at_) {
-    const Duration interval = needs_snapshot_
-                                  ? std::max(settings_.fetch_interval, settings_.period / 2)
-                                  : settings_.fetch_interval;
+    const Duration interval =
+        needs_snapshot_ ? std::max(settings_.fetch_interval, settings_.symmetric_period / 2)
+                        : settings_.fetch_interval;
     wait += std::max(*last_fetch_started_at_ + interval - clock_.now(), Duration::zero());
   }
   timer_.arm(wait, [this] { fetch(); });
--- a/src/discovery/view_writer.cc
+++ b/src/discovery/view_writer.cc
@@ -17,7 +17,7 @@
 /// How long a removed back end is doubtful if an older copy of the store lists it again: longer
 /// than three heartbeats (1.2 s each as deployed), after which the platform removes silent back
 /// ends.
-constexpr Duration kDoubtPeriod = std::chrono::seconds(6);
+constexpr Duration kRemovedBackendDoubtPeriod = std::chrono::seconds(6);
 
 std::uint64_t hash_backend(const gateway::Backend& backend) {
   return stable_hash(wire::encode(backend));
@@ -32,7 +32,7 @@
   }
   const bool behind = listing.revision < *seen_revision_;
   const bool older_era = listing.revision.era() < seen_revision_->era();
-  if (older_era || (behind && !log_.covers(listing.revision))) {
+  if (older_era || (behind && !change_log_.covers(listing.revision))) {
     // The changes reported by other nodes since the listing began are no longer in the log, so the
     // listing could undo them.
     return false;
@@ -44,20 +44,20 @@
   const std::vector<ViewChange> changes = diff_listing(listing);
   apply_other_keys(listing);
   for (const ViewChange& change : changes) {
-    std::visit([this](const auto& alternative) { apply(alternative); }, change);
+    std::visit([this](const auto& alternative) { apply_view_change(alternative); }, change);
   }
   log_added_backends();
   if (behind) {
     // The log is in order of revision, and these changes are older.
-    log_.reset(*seen_revision_);
+    change_log_.reset(*seen_revision_);
   } else {
     seen_revision_ = listing.revision;
-    log_.advance(*seen_revision_);
+    change_log_.advance(*seen_revision_);
   }
   if (newer_era) {
     // Other nodes may have seen more of the previous era than this one. The differences from this
     // node's view would not correct theirs, so they must fetch the complete view.
-    log_.reset(max_listed_revision_);
+    change_log_.reset(max_listed_revision_);
     newer_than_listing_.clear();
   }
   valid_ = true;
@@ -68,7 +68,7 @@
 bool ViewWriter::enter_era(shared_store::StoreRevision revision) {
   const bool later = seen_revision_ && revision.era() > seen_revision_->era();
   if (later) {
-    fleet_.doubt_gone(clock_.now() + kDoubtPeriod);
+    fleet_.doubt_gone(clock_.now() + kRemovedBackendDoubtPeriod);
   }
   return later;
 }
@@ -96,7 +96,7 @@
   seen_revision_ = listing.revision;
   position_ = shared_store::newest_position(listing.items);
   // Only the newest state of the keys on later pages is known.
-  log_.reset(max_listed_revision_);
+  change_log_.reset(max_listed_revision_);
 }
 
 void ViewWriter::apply_other_keys(const shared_store::Listing& listing) {
@@ -104,11 +104,11 @@
   for (const shared_store::Change& item : listing.items) {
     if (item.key == layout.configuration_key) {
       if (apply_configuration(*item.value, item.revision)) {
-        log_.note_configuration(std::min(item.revision, listing.revision));
+        change_log_.note_configuration(std::min(item.revision, listing.revision));
       }
     } else if (!item.key.starts_with(layout.backend_prefix) &&
-               !item.key.starts_with(layout.node_prefix) && other_key_) {
-      other_key_(item.key, item.value);
+               !item.key.starts_with(layout.node_prefix) && other_key_callback_) {
+      other_key_callback_(item.key, item.value);
     }
   }
 }
@@ -116,7 +116,7 @@
 std::vector<ViewChange> ViewWriter::diff_listing(const shared_store::Listing& listing) {
   const StoreLayout& layout = codec_.layout();
   const shared_store::StoreRevision known = *seen_revision_;
-  ListingComparison comparison(listing.revision, known, log_);
+  ListingComparison comparison(listing.revision, known, change_log_);
   max_listed_revision_ = std::max(max_listed_revision_, listing.revision);
   for (const shared_store::Change& item : listing.items) {
     max_listed_revision_ = std::max(max_listed_revision_, item.revision);
@@ -149,7 +149,7 @@
   }
 }
 
-std::vector<std::string> ViewWriter::split_points(std::size_t count) const {
+std::vector<std::string> ViewWriter::range_boundaries(std::size_t count) const {
   std::vector<std::string> keys;
   const std::size_t step = fleet_.backends().size() / std::max<std::size_t>(count, 1);
   if (step == 0) {
@@ -175,7 +175,7 @@
   if (*seen_revision_ > known) {
     position_ = shared_store::newest_position(changes.changes);
   }
-  log_.advance(*seen_revision_);
+  change_log_.advance(*seen_revision_);
   log_added_backends();
 }
 
@@ -206,9 +206,9 @@
 }
 
 std::vector<ViewUpdate> ViewWriter::make_updates(Duration age) {
-  std::vector<ViewUpdate> updates = log_.make_updates(clock_.now(), age);
+  std::vector<ViewUpdate> updates = change_log_.make_updates(clock_.now(), age);
   updates.back().fingerprint = fingerprint();
-  log_.note_announced(updates.back().through);
+  change_log_.note_announced(updates.back().through);
   return updates;
 }
 
@@ -232,22 +232,23 @@
       update.through.era() > seen_revision_->era()) {
     return UpdateOutcome::kSkipped;
   }
-  apply(update.changes, *seen_revision_);
+  apply_view_changes(update.changes, *seen_revision_);
   seen_revision_ = std::max(*seen_revision_, update.through);
-  log_.advance(*seen_revision_);
+  change_log_.advance(*seen_revision_);
   if (!update.is_last()) {
     return UpdateOutcome::kApplied;
   }
-  log_.note_announced(update.through);
+  change_log_.note_announced(update.through);
   return verify_fingerprint(update.through, *update.fingerprint);
 }
 
-void ViewWriter::apply(const std::vector<ViewChange>& changes, shared_store::StoreRevision after) {
+void ViewWriter::apply_view_changes(const std::vector<ViewChange>& changes,
+                                    shared_store::StoreRevision after) {
   for (const ViewChange& change : changes) {
     std::visit(
         [&](const auto& alternative) {
           if (alternative.revision > after) {
-            apply(alternative);
+            apply_view_change(alternative);
           }
         },
         change);
@@ -266,17 +267,17 @@
   const StoreLayout& layout = codec_.layout();
   if (change.key == layout.configuration_key && change.value) {
     apply_configuration(*change.value, change.revision);
-    log_.note_configuration(change.revision);
+    change_log_.note_configuration(change.revision);
   } else if (change.key.starts_with(layout.backend_prefix)) {
     apply_backend_entry(change);
   } else if (change.key.starts_with(layout.node_prefix)) {
     const NodeId id(change.key.substr(layout.node_prefix.size()));
     auto node = change.value ? entries_.read_node(change) : std::nullopt;
     if (node || !change.value) {
-      apply(NodeChange{change.revision, id, std::move(node)});
+      apply_view_change(NodeChange{change.revision, id, std::move(node)});
     }
-  } else if (other_key_) {
-    other_key_(change.key, change.value);
+  } else if (other_key_callback_) {
+    other_key_callback_(change.key, change.value);
   }
 }
 
@@ -287,22 +288,22 @@
   auto backend = change.value ? entries_.read_backend(change) : std::nullopt;
   for (const gateway::BackendId& known : fleet_.lives_of(name)) {
     if (!backend || backend->id != known) {
-      apply(BackendChange{change.revision, known, std::nullopt});
+      apply_view_change(BackendChange{change.revision, known, std::nullopt});
     }
   }
   if (backend) {
     const gateway::BackendId id = backend->id;
-    apply(BackendChange{change.revision, id, std::move(backend)});
+    apply_view_change(BackendChange{change.revision, id, std::move(backend)});
   }
 }
 
 /// A listing may already have contained this state: see `newer_than_listing_`.
-void ViewWriter::apply(BackendChange change) {
+void ViewWriter::apply_view_change(BackendChange change) {
   const gateway::Backend* const found = fleet_.find(change.id);
   const bool known = found != nullptr;
   if (!update_fleet(change, found)) {
     if (change.revision <= max_listed_revision_ && newer_than_listing_.erase(change.id) != 0) {
-      log_.note(std::move(change), clock_.now());
+      change_log_.note(std::move(change), clock_.now());
     }
     return;
   }
@@ -316,7 +317,7 @@
   } else {
     ++added_backends_;
   }
-  log_.note(std::move(change), clock_.now());
+  change_log_.note(std::move(change), clock_.now());
 }
 
 bool ViewWriter::update_fleet(const BackendChange& change, const gateway::Backend* known) {
@@ -338,13 +339,13 @@
   }
 }
 
-void ViewWriter::apply(NodeChange change) {
+void ViewWriter::apply_view_change(NodeChange change) {
   if (change.record) {
     nodes_.put(*change.record, change.revision);
   } else {
     nodes_.remove(change.id);
   }
-  log_.note(std::move(change), clock_.now());
+  change_log_.note(std::move(change), clock_.now());
 }
 
 std::optional<ViewTransfer> ViewWriter::make_transfer(
@@ -353,15 +354,15 @@
     return std::nullopt;
   }
   const bool same_era = after && after->era() == seen_revision_->era();
-  if (!same_era || !valid_ || !log_.covers(*after)) {
+  if (!same_era || !valid_ || !change_log_.covers(*after)) {
     return make_snapshot();
   }
   ViewDelta delta;
   delta.after = *after;
   delta.through = *seen_revision_;
   delta.age = clock_.now() - *fleet_.current_at();
-  delta.changes = log_.changes_since(*after);
-  if (log_.configuration_revision() > *after) {
+  delta.changes = change_log_.changes_since(*after);
+  if (change_log_.configuration_revision() > *after) {
     delta.configuration = configuration_;
   }
   delta.fingerprint = fingerprint();
@@ -381,10 +382,13 @@
 }
 
 UpdateOutcome ViewWriter::apply_transfer(const ViewTransfer& transfer) {
-  return std::visit([this](const auto& alternative) { return apply(alternative); }, transfer);
+  if (const auto* snapshot = std::get_if<ViewSnapshot>(&transfer)) {
+    return apply_snapshot(*snapshot);
+  }
+  return apply_delta(std::get<ViewDelta>(transfer));
 }
 
-UpdateOutcome ViewWriter::apply(const ViewDelta& delta) {
+UpdateOutcome ViewWriter::apply_delta(const ViewDelta& delta) {
   if (!seen_revision_ || delta.after > *seen_revision_ || delta.through < *seen_revision_ ||
       delta.through.era() != seen_revision_->era()) {
     return UpdateOutcome::kSkipped;
@@ -392,16 +396,16 @@
   if (delta.configuration && !apply_configuration(*delta.configuration, delta.through)) {
     return UpdateOutcome::kSkipped;
   }
-  apply(delta.changes, *seen_revision_);
+  apply_view_changes(delta.changes, *seen_revision_);
   seen_revision_ = delta.through;
-  log_.advance(*seen_revision_);
+  change_log_.advance(*seen_revision_);
   if (delta.configuration) {
-    log_.note_configuration(*seen_revision_);
+    change_log_.note_configuration(*seen_revision_);
   }
   return verify_fingerprint(delta.through, delta.fingerprint);
 }
 
-UpdateOutcome ViewWriter::apply(const ViewSnapshot& snapshot) {
+UpdateOutcome ViewWriter::apply_snapshot(const ViewSnapshot& snapshot) {
   const bool useful = !seen_revision_ || snapshot.through > *seen_revision_ ||
                       (!valid_ && snapshot.through == *seen_revision_);
   const bool known = snapshot.configuration == configuration_;
@@ -414,7 +418,7 @@
   nodes_.replace(snapshot.nodes, snapshot.through);
   seen_revision_ = snapshot.through;
   valid_ = true;
-  log_.reset(snapshot.through);
+  change_log_.reset(snapshot.through);
   return UpdateOutcome::kApplied;
 }
 
@@ -423,8 +427,8 @@
     return;
   }
   // A node that applies an update up to the seen revision may not have this configuration.
-  log_.note_configuration(seen_revision_ ? std::min(item.revision, *seen_revision_)
-                                         : item.revision);
+  change_log_.note_configuration(seen_revision_ ? std::min(item.revision, *seen_revision_)
+                                                : item.revision);
 }
 
 /// The configuration as of `revision`. Returns whether the document could be parsed. In a later era
--- a/src/discovery/view_writer.h
+++ b/src/discovery/view_writer.h
@@ -50,7 +50,7 @@
   /// Called with the changed state of each key that is neither the configuration nor a back end or
   /// node; without a value, the key was removed.
   using OtherKey = std::function<void(const std::string&, const std::optional<std::string>&)>;
-  void on_other_key(OtherKey callback) { other_key_ = std::move(callback); }
+  void on_other_key(OtherKey callback) { other_key_callback_ = std::move(callback); }
 
   /// Makes the view match the listing, except for changes that other nodes reported while the store
   /// was being listed. Returns whether the listing was useful.
@@ -69,7 +69,7 @@
   void invalidate() { valid_ = false; }
   /// Returns keys that split the store into about `count` ranges of the same size, based on the
   /// known back ends.
-  std::vector<std::string> split_points(std::size_t count) const;
+  std::vector<std::string> range_boundaries(std::size_t count) const;
 
   /// Returns the revision up to which the view is complete; nullopt if a listing is needed.
   std::optional<shared_store::StoreRevision> seen_revision() const { return seen_revision_; }
@@ -84,7 +84,7 @@
   /// them.
   std::vector<ViewUpdate> make_updates(Duration age);
   /// Returns the document in force; empty if there is none yet.
-  const std::string& configuration() const { return configuration_; }
+  const std::string& configuration_in_force() const { return configuration_; }
   /// Returns the number of values that could not be parsed. The last valid configuration stays in
   /// force.
   std::uint64_t rejected_values() const { return entries_.rejected(); }
@@ -102,18 +102,19 @@
   /// Returns the differences between a listing and the view, in order of revision.
   std::vector<ViewChange> diff_listing(const shared_store::Listing& listing);
   void apply_other_keys(const shared_store::Listing& listing);
-  void apply(const std::vector<ViewChange>& changes, shared_store::StoreRevision after);
+  void apply_view_changes(const std::vector<ViewChange>& changes,
+                          shared_store::StoreRevision after);
   ViewSnapshot make_snapshot() const;
-  UpdateOutcome apply(const ViewSnapshot& snapshot);
-  UpdateOutcome apply(const ViewDelta& delta);
+  UpdateOutcome apply_snapshot(const ViewSnapshot& snapshot);
+  UpdateOutcome apply_delta(const ViewDelta& delta);
   /// Returns kMismatch if the view, now at `through`, is not the one that `fingerprint` was
   /// computed from.
   UpdateOutcome verify_fingerprint(shared_store::StoreRevision through, std::uint64_t fingerprint);
   void apply_stored_change(const shared_store::Change& change);
   void apply_backend_entry(const shared_store::Change& change);
   bool apply_configuration(const std::string& value, shared_store::StoreRevision revision);
-  void apply(BackendChange change);
-  void apply(NodeChange change);
+  void apply_view_change(BackendChange change);
+  void apply_view_change(NodeChange change);
 
   const Clock& clock_;
   const FleetCodec& codec_;
@@ -121,7 +122,7 @@
   gateway::FleetState& fleet_;
   NodeDirectory& nodes_;
   EntryReader entries_;
-  ChangeLog log_;
+  ChangeLog change_log_;
   std::optional<shared_store::StoreRevision> seen_revision_;
   std::optional<shared_store::StorePosition> position_;
   /// The newest position received from another node; the update up to there may arrive later.
@@ -139,7 +140,7 @@
   std::string configuration_;  ///< The document in force.
   /// The newest revision at which it is known to be stored.
   shared_store::StoreRevision configuration_revision_;
-  OtherKey other_key_;
+  OtherKey other_key_callback_;
 };
 
 }  // namespace ochrespring::discovery
--- a/src/gateway_node/gateway_node.cc
+++ b/src/gateway_node/gateway_node.cc
@@ -138,7 +138,7 @@
                 &profiles_,
                 &profiles_,
                 settings_.replicate_resumable_streams != 0},
-               [this](auto done) { watcher_.refresh(std::move(done)); }),
+               [this](auto done) { watcher_.refresh_configuration(std::move(done)); }),
       callers_(loop, server_at(settings_.listen)),
       ready_(loop, server_at(settings_.ready_listen)),
       directory_(loop, server_at(settings_.directory_listen)),
@@ -183,11 +183,11 @@
     rate_limiter_.forget(backend.id);
     gateway_.on_backend_gone(backend.id);
   });
-  watcher_.on_current([this] {
+  watcher_.on_view_current([this] {
     apply_limits();
     quarantine_.on_store_answer();
     learn_cached_parts();
-    nodes_.readmit_deferred();
+    nodes_.add_deferred_nodes();
   });
   watcher_.on_new_era([this] { write_again(); });
   gateway_.on_idle([this] { stop_.on_idle(); });
@@ -304,8 +304,9 @@
   duties_.leave();
   nodes_.leave();
   // The answer to a write of its own may have been lost: what others tell may be newer.
-  peer_news_.tell_leaving(
-      [this] { return std::max(registration_.registered(), nodes_.own_registration_revision()); });
+  peer_news_.tell_leaving([this] {
+    return std::max(registration_.registration_revision(), nodes_.own_registration_revision());
+  });
   registration_.leave();
   callers_.announce_close();
   queue_.stop();
--- a/src/gateway_node/tests/crash_fleet.h
+++ b/src/gateway_node/tests/crash_fleet.h
@@ -765,7 +765,7 @@
                {},
                fleet.options().guarded ? &quarantine : nullptr,
                fleet.options().rate_limited ? &admission : nullptr},
-              [this](auto done) { watcher.refresh(std::move(done)); }) {
+              [this](auto done) { watcher.refresh_configuration(std::move(done)); }) {
   for (std::uint32_t i = 0; i != fleet.options().drawn; ++i) {
     random.next();
   }
@@ -799,7 +799,7 @@
     fleet.fetch_view(*this, request, std::move(done));
   });
   watcher.on_reading_assignment([this] { return news.channel().reading_duty(); });
-  watcher.on_current([this] {
+  watcher.on_view_current([this] {
     quarantine.on_store_answer();
     if (!std::exchange(asked, true)) {
       news.ask_for_parts();
--- a/src/gateway_node/tests/large_fleet.h
+++ b/src/gateway_node/tests/large_fleet.h
@@ -189,7 +189,7 @@
     time_.schedule_after(kAnswerTime, [this, done, make, gone, after, sent = eras_.on_send()] {
       if (state_.down || turned_away_) {
         ++state_.refused;
-        done(fail(shared_store::StoreErrc::kNotDone, "down"));
+        done(fail(shared_store::StoreErrc::kNotExecuted, "down"));
         return;
       }
       ++state_.reads;
--- a/src/shared_store/era_tracker.cc
+++ b/src/shared_store/era_tracker.cc
@@ -6,9 +6,9 @@
 
 StoreEra EraTracker::on_answer(const Snapshot& at_send, const Answer& answer) {
   StoreEra era = at_send.era;
-  newest_named_era_ = answer.era.has_value();
+  last_answer_named_era_ = answer.era.has_value();
   if (answer.era) {
-    names_eras_ = true;
+    any_answer_named_era_ = true;
     era = std::max(era, *answer.era);
   } else if (proves_new_era(at_send, answer)) {
     // Another answer may already have revealed the same new era.
@@ -19,7 +19,7 @@
 }
 
 bool EraTracker::proves_new_era(const Snapshot& at_send, const Answer& answer) const {
-  return !names_eras_ && answer.revision && *answer.revision < at_send.newest;
+  return !any_answer_named_era_ && answer.revision && *answer.revision < at_send.newest;
 }
 
 void EraTracker::note(StoreEra era, std::uint64_t revision) {
--- a/src/shared_store/era_tracker.h
+++ b/src/shared_store/era_tracker.h
@@ -34,7 +34,7 @@
   /// Records that the store's contents have shown that a new era has begun since `ended`.
   void begin_era_after(StoreEra ended) { note(ended.next(), 0); }
   /// Returns whether the newest answer named its era.
-  bool names_era() const { return newest_named_era_; }
+  bool names_era() const { return last_answer_named_era_; }
   /// Returns the newest known era; nullopt before the first answer.
   std::optional<StoreEra> known() const { return known_ ? std::optional(era_) : std::nullopt; }
 
@@ -45,8 +45,8 @@
   bool known_ = false;
   StoreEra era_;
   std::uint64_t newest_revision_ = 0;
-  bool names_eras_ = false;        ///< The store has named its era in some answer.
-  bool newest_named_era_ = false;  ///< The newest answer named its era.
+  bool any_answer_named_era_ = false;   ///< The store has named its era in some answer.
+  bool last_answer_named_era_ = false;  ///< The newest answer named its era.
 };
 
 }  // namespace ochrespring::shared_store
--- a/src/shared_store/errc.h
+++ b/src/shared_store/errc.h
@@ -8,7 +8,7 @@
 namespace ochrespring::shared_store {
 
 enum class StoreErrc {
-  kNotDone,             ///< Certainly not executed: no connection, or the store said so.
+  kNotExecuted,         ///< Certainly not executed: no connection, or the store said so.
   kUnknownEffect,       ///< No answer: the call may have been executed, or may be executed later.
   kRateLimited,         ///< Rejected by rate limiting; not executed.
   kHistoryUnavailable,  ///< The requested changes are no longer kept; a full listing is needed.
--- a/src/shared_store/tests/memory_store.h
+++ b/src/shared_store/tests/memory_store.h
@@ -37,12 +37,12 @@
     for (const Write& write : transaction.writes) {
       items[write.key] = {write.key, write.value, next_revision()};
       history.push_back(items[write.key]);
-      bound[write.key] = write.lease.value_or(LeaseId());
+      lease_of_key[write.key] = write.lease.value_or(LeaseId());
     }
     for (const std::string& key : transaction.removals) {
       remove(key);
     }
-    return now();
+    return current_revision();
   }
   LeaseId grant(Duration time_to_live) {
     const LeaseId lease(++last_lease_);
@@ -58,11 +58,11 @@
     found->second.ends = time_.now() + found->second.time_to_live;
     return true;
   }
-  void end(LeaseId lease) {
+  void end_lease(LeaseId lease) {
     leases.erase(lease);
     std::vector<std::string> removed;
     for (const auto& [key, item] : items) {
-      if (bound[key] == lease) {
+      if (lease_of_key[key] == lease) {
         removed.push_back(key);
       }
     }
@@ -78,7 +78,7 @@
     for (auto lease = leases.begin(); lease != leases.end();) {
       const auto next = std::next(lease);
       if (lease->second.ends <= time_.now()) {
-        end(lease->first);
+        end_lease(lease->first);
       }
       lease = next;
     }
@@ -89,7 +89,7 @@
   Snapshot snapshot() const;
   /// Restores the contents of the snapshot; its leases start running again from now.
   void restore(const Snapshot& snapshot);
-  StoreRevision now() const { return StoreRevision(revision, era); }
+  StoreRevision current_revision() const { return StoreRevision(revision, era); }
 
   struct Lease {
     MonotonicTime ends;
@@ -97,7 +97,7 @@
   };
   std::map<std::string, Change> items;
   std::vector<Change> history;  ///< In order of revision.
-  std::map<std::string, LeaseId> bound;
+  std::map<std::string, LeaseId> lease_of_key;
   std::map<LeaseId, Lease> leases;
   StoreEra era;
   std::uint64_t revision = 0;
@@ -114,19 +114,19 @@
 struct StoreState::Snapshot {
   std::uint64_t revision = 0;
   std::map<std::string, Change> items;
-  std::map<std::string, LeaseId> bound;
+  std::map<std::string, LeaseId> lease_of_key;
   std::map<LeaseId, Lease> leases;
 };
 
 inline StoreState::Snapshot StoreState::snapshot() const {
-  return {revision, items, bound, leases};
+  return {revision, items, lease_of_key, leases};
 }
 
 inline void StoreState::restore(const Snapshot& snapshot) {
   era = era.next();
   revision = snapshot.revision;
   items = snapshot.items;
-  bound = snapshot.bound;
+  lease_of_key = snapshot.lease_of_key;
   leases = snapshot.leases;
   history.clear();
   for (auto& [key, item] : items) {
@@ -156,7 +156,7 @@
     call<Listing>(std::move(done), [this, prefix]() -> Result<Listing, StoreError> {
       state_.expire();
       Listing listing;
-      listing.revision = state_.now();
+      listing.revision = state_.current_revision();
       for (const auto& [key, item] : state_.items) {
         if (key.starts_with(prefix)) {
           listing.items.push_back(item);
@@ -169,7 +169,7 @@
     call<ListPage>(std::move(done), [this, request]() -> Result<ListPage, StoreError> {
       state_.expire();
       ListPage page;
-      page.revision = state_.now();
+      page.revision = state_.current_revision();
       for (const auto& [key, item] : state_.items) {
         if (key.starts_with(request.prefix) && key > request.after) {
           page.items.push_back(item);
@@ -228,7 +228,7 @@
   std::optional<StoreEra> era() const override { return state_.era; }
   void end_lease(LeaseId lease, StoreCallback<LeaseId> done) override {
     call<LeaseId>(std::move(done), [this, lease]() -> Result<LeaseId, StoreError> {
-      state_.end(lease);
+      state_.end_lease(lease);
       return lease;
     });
   }
@@ -237,24 +237,24 @@
   static constexpr Duration kTimeout{std::chrono::milliseconds(1500)};
 
   template <class T>
-  void call(StoreCallback<T> done, std::function<Result<T, StoreError>()> act) {
+  void call(StoreCallback<T> done, std::function<Result<T, StoreError>()> operation) {
     ++calls;
     if (refuses_calls || state_.down) {
       node_.schedule_after(state_.answer_time,
-                           [done] { done(fail(StoreErrc::kNotDone, "call refused")); });
+                           [done] { done(fail(StoreErrc::kNotExecuted, "call refused")); });
       return;
     }
     if (partitioned || drops_answers || execution_delay != Duration::zero()) {
       if (!partitioned) {
         time_.schedule_after(std::max(execution_delay, state_.answer_time / 2),
-                             [act] { (void)act(); });
+                             [operation] { (void)operation(); });
       }
       node_.schedule_after(kTimeout,
                            [done] { done(fail(StoreErrc::kUnknownEffect, "no answer")); });
       return;
     }
-    time_.schedule_after(state_.answer_time / 2, [this, done, act] {
-      auto result = act();
+    time_.schedule_after(state_.answer_time / 2, [this, done, operation] {
+      auto result = operation();
       node_.schedule_after(state_.answer_time / 2,
                            [done, result = std::move(result)] { done(result); });
     });
