--- a/src/discovery/change_log.h
+++ b/src/discovery/change_log.h
@@ -10,9 +10,9 @@
 
 namespace ochrespring::discovery {
 
-/// Complete from a start revision on, so that each update makes up for the loss of an earlier one.
-/// The start revision advances past changes that are too old, too many or too large to send.
-/// Performs no I/O; used on one event loop.
+/// Contains every change of a back end or node after a start revision, so that each update makes up
+/// for the loss of an earlier one. The start revision advances past changes that are too old or too
+/// many to keep. Performs no I/O; used on one event loop.
 class ChangeLog {
  public:
   /// Drops everything up to `revision`.
@@ -20,15 +20,17 @@
   /// Records that the configuration changed at `revision`. It is too large for an update: nodes
   /// that have not seen that revision must fetch it.
   void note_configuration(shared_store::StoreRevision revision);
+  /// Adds a change. Changes must come in order of revision; otherwise reset() must follow.
   void note(ViewChange change, MonotonicTime now);
   /// Records that everything up to `revision` has been noted.
   void advance(shared_store::StoreRevision revision) { through_ = std::max(through_, revision); }
   /// Records that this or another node has announced everything up to `revision`.
   void note_announced(shared_store::StoreRevision revision);
-  /// Returns the changes that other nodes may lack, oldest first, from the end of the last but one
-  /// poll or from the oldest change kept, if that is newer. The result is never empty, and its last
-  /// update ends at the newest revision. If the changes exceed `kMaxUpdates`, the result is one
-  /// empty update that only nodes which have seen everything can apply.
+  /// Returns the changes that other nodes may lack, oldest first, from the latest of: the end of
+  /// the last but one poll, the oldest change kept, the configuration's last change. The result is
+  /// never empty, and its last update ends at the newest revision. If more than `kMaxUpdates`
+  /// updates would be needed, the result is one empty update that only nodes which have seen
+  /// everything can apply.
   std::vector<ViewUpdate> make_updates(MonotonicTime now, Duration age);
   /// Returns whether all changes after `revision` are kept.
   bool covers(shared_store::StoreRevision revision) const { return revision >= after_; }
@@ -42,7 +44,7 @@
   /// Far longer than the time between two polls: a node that has received nothing for a while
   /// fetches the changes (some KB) instead of the complete view (some 100 KB for 10,000 servers).
   static constexpr Duration kRetention{std::chrono::seconds(30)};
-  /// An update with this many changes fits into a datagram.
+  /// Fits into a datagram. Exceeded only by changes of one transaction, which are never split.
   static constexpr std::size_t kMaxChangesPerUpdate = 24;
   /// Per poll. A relay sends each update to its whole zone at once: links drop the end of longer
   /// bursts, and a complete view fetched over a stream is hardly larger.
@@ -65,8 +67,8 @@
   shared_store::StoreRevision after_;
   shared_store::StoreRevision through_;
   shared_store::StoreRevision configuration_revision_;
-  shared_store::StoreRevision announced_;             ///< By the last poll known to this node.
-  shared_store::StoreRevision previously_announced_;  ///< By the poll before.
+  shared_store::StoreRevision announced_;  ///< The newest revision announced by any node.
+  shared_store::StoreRevision previously_announced_;  ///< The one announced before it.
   std::deque<Entry> entries_;
 };
 
--- a/src/discovery/entry_reader.cc
+++ b/src/discovery/entry_reader.cc
@@ -24,7 +24,7 @@
   }
   const std::size_t prefix = codec_.layout().node_prefix.size();
   if (entry.key.compare(prefix, std::string::npos, node.value().node.value()) != 0) {
-    reject(entry.key, "names another node than its key");
+    reject(entry.key, "the record's node id does not match the key");
     return std::nullopt;
   }
   return std::move(node.value());
@@ -43,7 +43,7 @@
   ++rejected_;
   logger_.write({logging::Level::kError,
                  "discovery",
-                 "cannot parse a value of the store",
+                 "failed to parse a store entry",
                  {{"key", key}, {"reason", reason}}});
 }
 
--- a/src/discovery/era_check.h
+++ b/src/discovery/era_check.h
@@ -9,10 +9,10 @@
 
 namespace ochrespring::discovery {
 
-/// A store may be restored from an older copy without announcing it, and is unreachable before.
-/// After a failed poll, the position known at that time is therefore verified, even if other nodes
-/// have reported newer changes since: they may know no position to verify. Performs no I/O; used on
-/// one event loop.
+/// A store may be restored from an older copy without announcing it, but it is unreachable during
+/// the restore. After a failed poll, the position known at that time is therefore verified, even if
+/// updates of other nodes have advanced the view since: the position at the newer revision may be
+/// unknown. Performs no I/O; used on one event loop.
 class EraCheck {
  public:
   using Position = std::optional<shared_store::StorePosition>;
@@ -30,14 +30,17 @@
   /// requested.
   shared_store::PositionCheck check(const Position& requested,
                                     const std::vector<shared_store::Change>& changes);
-  /// The store no longer keeps the change at the position.
+  /// Forgets the position, because the store no longer keeps its change.
   void forget_position() { position_to_verify_.reset(); }
-  /// Returns whether a poll has failed and the view has not been known to match the store since.
+  /// Returns whether a failed poll or a conflict has left it unknown if the store is in the view's
+  /// era.
   bool is_pending() const { return unverified_since_.has_value(); }
 
  private:
+  /// Time of the last failed poll or conflict; nullopt if no check is pending.
   std::optional<MonotonicTime> unverified_since_;
-  /// Position when a poll first failed; reset when a poll is answered.
+  /// Position of the view at the first failed poll or at the last conflict; reset when a poll is
+  /// answered.
   Position position_to_verify_;
 };
 
--- a/src/discovery/fleet_codec.h
+++ b/src/discovery/fleet_codec.h
@@ -11,7 +11,7 @@
 
 enum class CodecErrc {
   kMalformed,  ///< Not in the expected format.
-  kInvalid,    ///< Contains an unusable value.
+  kInvalid,    ///< Well-formed, but a value is empty, out of range or unknown.
 };
 
 using CodecError = LayerError<CodecErrc>;
@@ -25,7 +25,7 @@
   std::string quarantine_prefix{};  ///< Requests during which servers have crashed.
 };
 
-/// Parses store entries. Stateless.
+/// Defines the store's keys and parses its entries. Stateless.
 class FleetCodec {
  public:
   virtual ~FleetCodec() = default;
--- a/src/discovery/fleet_lister.h
+++ b/src/discovery/fleet_lister.h
@@ -35,7 +35,7 @@
   bool running() const { return run_ != nullptr; }
 
  private:
-  /// Per page; the store more often drops single calls than it is unreachable.
+  /// A page is retried, because single failed calls are more frequent than outages.
   static constexpr std::uint32_t kMaxPageAttempts = 3;
   static constexpr Duration kRetryDelay{std::chrono::milliseconds(100)};
 
@@ -58,6 +58,7 @@
   void handle_page(const std::shared_ptr<Run>& run, std::size_t index, shared_store::ListPage page);
   void handle_page_failure(const std::shared_ptr<Run>& run, std::size_t index,
                            const shared_store::StoreError& error);
+  /// Completes the run if this was its last unfinished range.
   void finish_range(const std::shared_ptr<Run>& run);
   void fail_run(const std::shared_ptr<Run>& run, shared_store::StoreError error);
 
--- a/src/discovery/fleet_watcher.cc
+++ b/src/discovery/fleet_watcher.cc
@@ -16,9 +16,9 @@
 /// Limits the connections of a reader to the store. With 20,000 back ends, a range has 13
 /// sequential pages of 200 keys.
 constexpr std::size_t kMaxRanges = 8;
-/// Number of consecutive polls without history that a follower leaves to the readers before it
-/// lists the store itself. Two seconds have passed by then, in which the readers have either
-/// announced their listing or terminated.
+/// Number of consecutive failed polls after which a follower that finds no history lists the store
+/// itself. Two seconds have passed by then, in which the readers have either announced their
+/// listing or terminated.
 constexpr std::uint32_t kMaxFollowerPollsBeforeListing = 4;
 
 }  // namespace
@@ -172,12 +172,13 @@
 }
 
 /// A skipped listing does not bring the view up to date: the poll counts as failed although the
-/// store answers. The configuration is read by itself, because it cannot wait for the next listing.
+/// store answers. The configuration is read separately, because it cannot wait for the next
+/// listing.
 void FleetWatcher::skip_listing(shared_store::StoreRevision listed) {
   ++statistics_.listings_skipped;
   deps_.logger.write({logging::Level::kWarning,
                       kComponent,
-                      "listing is older than the view; skipped",
+                      "skipped a listing that is older than the view",
                       {{"era", listed.era().value()},
                        {"listed", listed.value()},
                        {"seen_era", writer_.seen_revision()->era().value()},
@@ -307,7 +308,7 @@
 }
 
 /// The changes after the view are no longer kept, so only a listing shows the current state. In a
-/// large fleet the readers list for all nodes; the configuration is read by itself, because it
+/// large fleet the readers list for all nodes; the configuration is read separately, because it
 /// cannot wait for that.
 void FleetWatcher::handle_unavailable_history() {
   ++statistics_.histories_unavailable;
@@ -477,7 +478,8 @@
   }
   polled_again_ = false;
   if (result == PollResult::kStale) {
-    // read_configuration() is running and completes the waiting refreshes.
+    // A separate read of the configuration is running or scheduled. It completes the waiting
+    // requests if it succeeds; otherwise they time out.
     return;
   }
   configuration_waiters_.complete(success && !too_old);
@@ -589,7 +591,7 @@
   }
 }
 
-/// A configuration known to be current completes all waiting refreshes.
+/// A configuration known to be current completes all waiting requests.
 void FleetWatcher::note_configuration_current(MonotonicTime at) {
   if (configuration_current_at_ && at <= *configuration_current_at_) {
     return;
--- a/src/discovery/fleet_watcher.h
+++ b/src/discovery/fleet_watcher.h
@@ -64,8 +64,8 @@
 /// failed poll, all changes known from the last seconds are requested and compared, unless the
 /// store names its era: a restored store may repeat just the newest change.
 ///
-/// The configuration is small and is read by itself where the rest takes long. Used on one event
-/// loop.
+/// The configuration is small and is read separately when a full listing is large, postponed or
+/// skipped. Used on one event loop.
 class FleetWatcher {
  public:
   struct Dependencies {
@@ -82,12 +82,12 @@
 
   void start();
   /// Calls back with true once the configuration is known to be current, or with false if that
-  /// cannot be determined soon. Fails immediately if the last poll failed or the running one is
-  /// slow.
+  /// cannot be determined soon. Calls back with false immediately if the last poll failed or the
+  /// running one is slow.
   void refresh_configuration(std::function<void(bool current)> done);
   /// Applies another node's update. `on_covered`, if given, is called once this node's view is at
-  /// least as new as the update: immediately, after a fetch, or never if a newer update arrives
-  /// first.
+  /// least as new as the update: immediately, later, or never if the update is outdated or another
+  /// update with a callback replaces it.
   void receive_update(const ViewUpdate& update, std::function<void()> on_covered = {});
   /// Sets the callback that asks another node for its view. It is called repeatedly while this node
   /// has no view and the store is slow to provide one.
@@ -115,8 +115,8 @@
   /// Sets the callback for keys of the store that are not part of the fleet view, as found by this
   /// node's polls.
   void on_other_key(ViewWriter::OtherKey callback) { writer_.on_other_key(std::move(callback)); }
-  /// Sets the callback for the case that this node's first view is its own listing of the store;
-  /// called after on_other_key().
+  /// Sets the callback for the case that this node's first view is its own listing of the store.
+  /// The callback runs after those of on_other_key() for the listing.
   void on_first_listing(std::function<void()> callback) {
     first_listing_callback_ = std::move(callback);
   }
@@ -124,15 +124,15 @@
   void on_poll(std::function<void(const ViewUpdate&)> callback) {
     broadcast_update_ = std::move(callback);
   }
-  /// Sets the callback that broadcasts the position that a poll has reached; called after
-  /// on_poll().
+  /// Sets the callback that broadcasts the position that a poll has reached. The callback runs
+  /// after that of on_poll().
   void on_position(std::function<void(const PositionReport&)> callback) {
     broadcast_position_ = std::move(callback);
   }
   /// Handles the position that another node's poll has reached.
   void receive_position(const PositionReport& report);
-  /// Sets the callback that broadcasts the span of changes found by a poll; called after
-  /// on_position().
+  /// Sets the callback that broadcasts the span of changes found by a poll. The callback runs after
+  /// that of on_position().
   void on_history(std::function<void(const HistoryReport&)> callback) {
     broadcast_history_ = std::move(callback);
   }
@@ -193,11 +193,13 @@
   void invalidate_view(const Endpoint& holder);
   void schedule_peer_request();
   void request_peer_view();
-  /// Applies a view requested from another node at `requested_at`. Returns whether it was useful.
+  /// Applies a view requested from another node at `requested_at`. Returns false if it was skipped
+  /// (UpdateOutcome::kSkipped).
   bool apply_transfer(const ViewTransfer& transfer, MonotonicTime requested_at);
   ReadingAssignment reading_assignment() const {
     return reading_assignment_callback_ ? reading_assignment_callback_() : ReadingAssignment{};
   }
+  /// Records the era of the view; reports a new one.
   void note_era();
   /// Broadcasts the result of this node's poll unless another node has just done so.
   void broadcast_poll();
@@ -231,7 +233,7 @@
   std::uint32_t failed_in_row_ = 0;  ///< Consecutive failed polls.
   MonotonicTime poll_started_at_{};
   bool polling_ = false;
-  bool poll_is_slow_ = false;      ///< A refresh has timed out waiting for the running poll.
+  bool poll_is_slow_ = false;      ///< A request has timed out waiting for the running poll.
   bool listing_required_ = false;  ///< The view is wrong; the next poll lists the store.
   EraCheck era_check_;
   KnownHistory history_;
@@ -239,7 +241,7 @@
   std::optional<shared_store::HistorySpan> polled_span_;
   std::optional<shared_store::StorePosition> last_position_;  ///< The last one sent or received.
   bool requesting_peer_view_ = false;
-  /// The poll for the waiting refreshes was repeated because it took too long.
+  /// The poll for the waiting requests was repeated because it took too long.
   bool polled_again_ = false;
   /// First page of a large fleet's listing, kept while other nodes are asked for their view.
   std::optional<shared_store::ListPage> first_page_;
--- a/src/discovery/known_history.h
+++ b/src/discovery/known_history.h
@@ -16,8 +16,8 @@
 class KnownHistory {
  public:
   void note(const shared_store::HistorySpan& span, MonotonicTime now);
-  /// Drops the spans that are no longer requested from the store. `seen` is the revision of the
-  /// view.
+  /// Drops the spans that are too old, of another era than `seen`, the revision of the view, or so
+  /// far back that the store's answer would be too large.
   void trim(MonotonicTime now, shared_store::StoreRevision seen);
   /// Returns the revision to poll from so that the answer covers all recorded spans; nullopt if
   /// there are none.
--- a/src/discovery/listing_comparison.h
+++ b/src/discovery/listing_comparison.h
@@ -19,14 +19,15 @@
 /// listing and are kept. For a single use; performs no I/O.
 class ListingComparison {
  public:
-  /// The listing began at `listed`; the view is complete up to `known`, and `log` contains the
-  /// changes received since the listing began.
+  /// The listing began at `listed_revision`; the view is complete up to `known_revision`, and `log`
+  /// contains the changes received since the listing began.
   ListingComparison(shared_store::StoreRevision listed_revision,
                     shared_store::StoreRevision known_revision, const ChangeLog& log);
 
   /// Adds a listed back end last changed at `revision`. Returns whether it differs from the view.
   bool add_backend(const gateway::Backend& backend, shared_store::StoreRevision revision,
                    const gateway::FleetState& fleet);
+  /// Adds a listed node. Without a record, as it could not be parsed, it is no difference.
   void add_node(const NodeId& id, shared_store::StoreRevision revision,
                 std::optional<NodeRecord> record, const NodeDirectory& nodes);
   /// Returns all differences in order of revision; entries of the view that were not listed count
@@ -34,8 +35,9 @@
   std::vector<ViewChange> finish(const gateway::FleetState& fleet, const NodeDirectory& nodes);
 
  private:
-  /// Returns the revision under which a difference is reported. It lies within the range that the
-  /// listing adds to the view, so nodes that have seen as much as this one apply it.
+  /// Returns the revision under which a difference is reported: `revision` if it lies between the
+  /// known and the listed revision, otherwise the listed one. Nodes that have seen as much as this
+  /// one therefore apply the difference.
   shared_store::StoreRevision reported_revision(shared_store::StoreRevision revision) const;
 
   shared_store::StoreRevision listed_revision_;
--- a/src/discovery/node_directory.h
+++ b/src/discovery/node_directory.h
@@ -20,8 +20,9 @@
   NodeDirectory(const Clock& clock, NodeRecord self)
       : clock_(clock), self_(std::move(self)), started_(clock.now()) {}
 
-  /// `registration_revision` is the revision of the registration; zero if unknown. This node's own
-  /// record reveals its last registration, whose answer from the store may have been lost.
+  /// Adds or updates a node, unless that registration has announced that it leaves: then the node
+  /// is ignored, or deferred if `registration_revision` is zero (unknown). This node's own record
+  /// reveals its last registration, whose answer from the store may have been lost.
   void put(const NodeRecord& record, shared_store::StoreRevision registration_revision = {});
   /// Removes a node that has left or whose lease has expired.
   void remove(const NodeId& node);
@@ -34,9 +35,9 @@
   /// Replaces all nodes by those of a complete view that matched the store at `as_of`; zero if
   /// unknown.
   void replace(const std::vector<NodeRecord>& records, shared_store::StoreRevision as_of = {});
-  /// Re-adds the nodes of a complete view that had announced that they leave. Such a view does not
-  /// contain the revisions of the registrations, so these nodes count again once the notice is too
-  /// old to be from their current process.
+  /// Adds the deferred nodes whose leaving notice has expired. A complete view contains no
+  /// registration revisions, so it cannot show earlier whether such a node belongs to a process
+  /// started since.
   void add_deferred_nodes();
   void leave() {
     leaving_ = true;
@@ -70,8 +71,8 @@
   std::uint32_t conservative_count() const;
 
  private:
-  /// How long a node counts after its registration was removed: longer than the store rejects
-  /// single machines on an ordinary bad day (about 10 s).
+  /// How long a node counts after its registration was removed. Exceeds the about 10 s for which
+  /// the store may reject all calls of a single machine.
   static constexpr Duration kRemovedNodeRetention{std::chrono::seconds(15)};
   /// How long a leaving node is remembered: longer than its shutdown and its lease together (8 s
   /// and 3 s as deployed).
@@ -89,8 +90,8 @@
     MonotonicTime removed_at{};  ///< When the registration was removed.
   };
   std::map<NodeId, RemovedNode> removed_nodes_;
-  std::map<NodeId, shared_store::StoreRevision>
-      registration_revisions_;  ///< Of other nodes, if known.
+  /// Of other nodes; zero if unknown.
+  std::map<NodeId, shared_store::StoreRevision> registration_revisions_;
   struct LeavingNode {
     shared_store::StoreRevision registration_revision;
     MonotonicTime until{};
--- a/src/discovery/node_registration.cc
+++ b/src/discovery/node_registration.cc
@@ -131,8 +131,8 @@
   }
 }
 
-/// Retries while the store is unreachable: until the lease expires, the store lists this node to
-/// nodes that start.
+/// Retries while the store is unreachable: otherwise starting nodes would still find this node in
+/// the store until the lease expires.
 void NodeRegistration::end_lease() {
   if (!lease_) {
     return;
--- a/src/discovery/poll_schedule.cc
+++ b/src/discovery/poll_schedule.cc
@@ -17,22 +17,22 @@
 constexpr double kPeriodFraction = 0.5;
 constexpr double kSpreadFraction = 0.22;
 /// Leaves room in the bound for a full listing, which takes up to a second if the history is
-/// unavailable, and for the turns of a few terminated readers before it. A fleet of any size polls
-/// 8 times per bound.
+/// unavailable, and for the turns of a few terminated readers before it. The load on the store does
+/// not depend on the fleet's size: the first reader polls 8 times per bound.
 constexpr double kReaderPeriodFraction = 0.125;
 constexpr double kReaderStaggerFraction = 0.05;
 /// A follower that has missed two updates in a row still asks a reader before half of the bound has
 /// passed.
 constexpr double kFollowerPeriodFraction = 0.35;
-/// A view of this age still shows which routes a configuration lacks: a newer configuration need
-/// not be in force yet.
+/// A request for a missing route may be answered from a configuration of up to this age, because a
+/// newer one does not have to be in force earlier.
 constexpr double kMaxRefreshAgeFraction = 0.75;
-/// Per known node, before a starting node lists the whole store itself: regardless of how many
+/// Delay per known node before a starting node lists the whole store itself: regardless of how many
 /// nodes start at once, about 50 per second do so. A fleet whose nodes and servers fit into one
 /// page never waits.
 constexpr Duration kListingDelayPerNode = std::chrono::milliseconds(20);
-/// Upper limit of the delay, to which up to the same time is added at random: a third of the time
-/// within which a completely restarted fleet must serve again (18 s for the largest fleets).
+/// Upper limit of the delay without its random part. With that part, the delay is at most 6 s: a
+/// third of the 18 s within which the largest fleets must serve again after a complete restart.
 constexpr Duration kMaxListingDelay = std::chrono::seconds(3);
 
 }  // namespace
--- a/src/discovery/poll_schedule.h
+++ b/src/discovery/poll_schedule.h
@@ -36,7 +36,8 @@
   Duration reader_stagger{std::chrono::milliseconds(100)};
   /// Time without updates before a follower asks a reader.
   Duration follower_period{std::chrono::milliseconds(700)};
-  Duration retry_delay{std::chrono::milliseconds(300)};  ///< Initial delay after a failed poll.
+  /// Base of the delay after a failed poll; see failed_poll_delay().
+  Duration retry_delay{std::chrono::milliseconds(300)};
   /// The delay after consecutive failed polls grows up to this; in a large fleet up to
   /// `max_refresh_age`, because one of the many nodes will soon succeed and broadcast its result.
   Duration max_retry_delay{std::chrono::milliseconds(1200)};
@@ -46,11 +47,11 @@
   /// Minimum time between two fetches of changes. Complete views are large: at least half of
   /// `symmetric_period` passes between them.
   Duration fetch_interval{std::chrono::milliseconds(500)};
-  /// Before a peer is asked for its view.
+  /// Delay before a node without a view asks a peer for one.
   Duration peer_request_delay{std::chrono::milliseconds(250)};
-  /// Range of the delay before an unscheduled listing.
+  /// Range of the random delay before an unscheduled poll or listing.
   Duration relist_spread{std::chrono::milliseconds(200)};
-  /// Age of the configuration from which refresh() polls again.
+  /// Age of the configuration from which refresh_configuration() polls again.
   Duration max_refresh_age{std::chrono::milliseconds(150)};
   /// Time for which a request waits for a poll: callers expect answers within hundreds of
   /// milliseconds, and a poll takes about ten while the store is healthy.
--- a/src/discovery/relay_table.h
+++ b/src/discovery/relay_table.h
@@ -18,8 +18,8 @@
 
 /// Selects two relays per zone, identically on all nodes that know the same nodes: those with the
 /// fastest links, and among these the first by rendezvous hashing, so that an added or removed node
-/// changes few relays. Each relay forwards everything it receives, so a silent one loses only
-/// the reports that are sent to the two in turns.
+/// changes few relays. Each relay forwards everything it receives, so if one of the two fails,
+/// only the reports that are sent alternately to one of them are lost.
 ///
 /// Reads the directory and is recomputed when the directory has changed. Used on one event loop.
 class RelayTable {
--- a/src/discovery/tests/era_check_test.cc
+++ b/src/discovery/tests/era_check_test.cc
@@ -53,9 +53,7 @@
   CHECK_FALSE(era_check.position_to_verify({}, StoreEra(1)));
 }
 
-TEST_CASE(
-    "an inconclusive answer leaves the check pending, a view known to be current since completes "
-    "it") {
+TEST_CASE("an inconclusive answer leaves the check pending until the view is known to be current") {
   EraCheck era_check;
   era_check.note_failed(at(1s), {});
   CHECK(era_check.check({}, {change_at(8, "x")}) == PositionCheck::kUnknown);
--- a/src/discovery/tests/node_directory_test.cc
+++ b/src/discovery/tests/node_directory_test.cc
@@ -104,7 +104,7 @@
   CHECK(directory.count() == 2);
 }
 
-TEST_CASE("a node removed from the store is not readmitted after its leaving notice has expired") {
+TEST_CASE("a node removed from the store is not added again after its leaving notice has expired") {
   simulation::VirtualTime time;
   NodeDirectory directory(time, make_record(0));
   directory.put(make_record(1), shared_store::StoreRevision(74));
--- a/src/discovery/tests/poll_schedule_test.cc
+++ b/src/discovery/tests/poll_schedule_test.cc
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-TEST_CASE("readers poll in order of rank, each only if those before it were silent") {
+TEST_CASE("each reader polls at least 200 ms later than the one before it and within the period") {
   const FleetWatcherSettings settings = settings_for_staleness_bound(5s);
   Duration last{};
   for (std::uint32_t rank = 0; rank != 7; ++rank) {
@@ -34,7 +34,7 @@
   CHECK(poll_delay(settings, reader(200), 985, 0.5) <= settings.symmetric_period);
 }
 
-TEST_CASE("a fleet of any size has time to list the store and to retry") {
+TEST_CASE("poll delays leave time in the staleness bound for a listing and a retry") {
   for (const Duration bound : {Duration(2s), Duration(4s), Duration(5s), Duration(18s)}) {
     const FleetWatcherSettings settings = settings_for_staleness_bound(bound);
     // Three terminated readers, followed by one that lists for a fifth of the bound.
--- a/src/discovery/tests/restarted_backend_test.cc
+++ b/src/discovery/tests/restarted_backend_test.cc
@@ -1,5 +1,5 @@
 // A back end restarted under the same name is a different one, and an entry that cannot be parsed
-// names no back end. Other back ends are unaffected.
+// adds no back end and removes an existing one. Other back ends are unaffected.
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
@@ -89,7 +89,7 @@
   CHECK(receiver.known() == Ids{"a@600"});
 }
 
-TEST_CASE("an entry that cannot be parsed names no back end, even if it was valid before") {
+TEST_CASE("an entry that cannot be parsed adds no back end and removes an existing one") {
   Node node;
   node.list(3, {entry("a", "ready", 1), entry("b", "broken", 2)});
   CHECK(node.known() == Ids{"a"});
--- a/src/discovery/tests/shared_polls_test.cc
+++ b/src/discovery/tests/shared_polls_test.cc
@@ -68,8 +68,8 @@
     }
     return listing;
   }
-  /// Returns only the last change of each key, like a real store; nullopt if `after` is of another
-  /// era.
+  /// Returns only the last change of each key: a view must not depend on the earlier ones. Returns
+  /// nullopt if `after` is of another era.
   std::optional<Changes> changes_after(StoreRevision after) const {
     if (after.era() != now_.era()) {
       return std::nullopt;
@@ -238,7 +238,8 @@
   }));
 }
 
-TEST_CASE("a log that is too long or too old offers fewer changes and a later start revision") {
+TEST_CASE(
+    "a change log that is too long sends no changes, one that is too old only the recent ones") {
   ChangeLog log;
   const MonotonicTime start{};
   log.reset(StoreRevision(10));
@@ -339,7 +340,9 @@
   CHECK(updates[0].changes.size() == 15);
 }
 
-TEST_CASE("a listing with newer pages is not compared until the view has caught up with them") {
+TEST_CASE(
+    "the fingerprint is not compared until the view covers the newest change on a listing's "
+    "pages") {
   simulation::VirtualTime time;
   const PlainCodec codec;
   logging::NullLogger logger;
@@ -444,7 +447,7 @@
 
 }  // namespace
 
-TEST_CASE("a node does not poll while others do, and polls in time when they are silent") {
+TEST_CASE("a node polls only if it receives no updates for its poll period") {
   SharingFixture fixture;
   for (int i = 0; i != 20; ++i) {
     fixture.advance(900ms);
@@ -456,7 +459,7 @@
   CHECK(fixture.watcher.statistics().updates_taken == 20);
 }
 
-TEST_CASE("an update that does not connect to the view does not postpone this node's poll") {
+TEST_CASE("an update that starts after the seen revision does not postpone this node's poll") {
   SharingFixture fixture;
   fixture.advance(900ms);
   fixture.watcher.receive_update(empty_update(12, 14));
@@ -570,7 +573,7 @@
       fetches.push_back(std::move(done));
     });
   }
-  /// An update that does not connect to this node's view, sent by another node.
+  /// Receives an update of another node that starts after the revision this node has seen.
   void receive_update_after_gap(std::uint64_t after, const std::string& holder) {
     ViewUpdate update = empty_update(after, after + 2);
     update.view_address = Endpoint(holder);
@@ -592,7 +595,7 @@
 
 }  // namespace
 
-TEST_CASE("changes that do not connect to the view are fetched from their sender without a poll") {
+TEST_CASE("changes missing before an update are fetched from its sender without a poll") {
   FetchingFixture fixture;
   fixture.advance(900ms);
   fixture.receive_update_after_gap(12, "holder");
@@ -609,7 +612,7 @@
   CHECK(fixture.watcher.statistics().updates_taken == 1);
 }
 
-TEST_CASE("an update that others follow does not postpone this node's poll") {
+TEST_CASE("an update that is not the last of its poll does not postpone this node's poll") {
   SharingFixture fixture;
   fixture.advance(900ms);
   ViewUpdate update = empty_update(10, 11);
@@ -636,7 +639,8 @@
   }
 }
 
-TEST_CASE("many updates that do not connect cause one fetch, from the newest sender") {
+TEST_CASE(
+    "many updates that start after the seen revision cause one fetch, from the newest sender") {
   FetchingFixture fixture;
   for (int i = 0; i != 5; ++i) {
     fixture.receive_update_after_gap(12 + static_cast<std::uint64_t>(i),
--- a/src/discovery/view_fetcher.cc
+++ b/src/discovery/view_fetcher.cc
@@ -29,8 +29,8 @@
   request(holder);
 }
 
-/// While there are more changes than updates can carry, one fetch per `fetch_interval` must
-/// suffice.
+/// Limits fetches to one per `fetch_interval`, also while there are more changes than updates can
+/// carry.
 void ViewFetcher::schedule_fetch(Duration min_delay) {
   Duration wait = min_delay + random_.part_of(settings_.fetch_spread);
   if (last_fetch_started_at_) {
--- a/src/discovery/view_fetcher.h
+++ b/src/discovery/view_fetcher.h
@@ -24,17 +24,18 @@
 /// Receives nullopt if the node did not answer or has nothing to provide.
 using TransferCallback = std::function<void(std::optional<ViewTransfer> transfer)>;
 
-/// Many updates that do not connect to the view cause a single fetch, from the sender of the
-/// newest; the next one follows only after an interval. A holder that cannot serve is retried a few
-/// times, because it serves other nodes first. A node whose fetches fail polls the store itself in
-/// time. Used on one event loop.
+/// Many updates that start after the revision this node has seen cause a single fetch, from the
+/// sender of the newest; the next one follows only after an interval. A holder that cannot serve is
+/// retried a few times, because it serves other nodes first. A node whose fetches fail polls the
+/// store itself in time. Used on one event loop.
 class ViewFetcher {
  public:
   struct Callbacks {
     std::function<void(const ViewRequest&, TransferCallback)> fetch;
     /// Returns the revision up to which this node's view is complete.
     std::function<std::optional<shared_store::StoreRevision>()> seen_revision;
-    /// Applies a transfer requested at the given time; returns whether it was useful.
+    /// Applies a transfer requested at the given time. Returns false if it was skipped
+    /// (UpdateOutcome::kSkipped).
     std::function<bool(const ViewTransfer&, MonotonicTime requested_at)> apply;
   };
 
@@ -60,7 +61,8 @@
   FleetWatcherSettings settings_;
   Callbacks callbacks_;
   Timer timer_;
-  Endpoint holder_;  ///< Sender of the newest update that does not connect to the view.
+  /// Sender of the newest update that starts after the revision this node has seen.
+  Endpoint holder_;
   bool needs_snapshot_ = false;
   bool fetching_ = false;
   std::uint32_t attempts_ = 0;
--- a/src/discovery/view_writer.cc
+++ b/src/discovery/view_writer.cc
@@ -14,9 +14,9 @@
 namespace {
 
 constexpr std::string_view kComponent = "discovery";
-/// How long a removed back end is doubtful if an older copy of the store lists it again: longer
-/// than three heartbeats (1.2 s each as deployed), after which the platform removes silent back
-/// ends.
+/// After a new era begins, for how long a back end that was removed before and is listed again is
+/// used only if there is no other. Longer than three heartbeats (1.2 s each as deployed), after
+/// which the platform removes silent back ends.
 constexpr Duration kRemovedBackendDoubtPeriod = std::chrono::seconds(6);
 
 std::uint64_t hash_backend(const gateway::Backend& backend) {
@@ -64,7 +64,6 @@
   return true;
 }
 
-/// Returns whether `revision` belongs to a later store era than the view.
 bool ViewWriter::enter_era(shared_store::StoreRevision revision) {
   const bool later = seen_revision_ && revision.era() > seen_revision_->era();
   if (later) {
@@ -431,9 +430,9 @@
                                                 : item.revision);
 }
 
-/// The configuration as of `revision`. Returns whether the document could be parsed. In a later era
-/// the store may hold a different document with the version in force: the operator has replaced the
-/// one that the store lost.
+/// Puts the configuration stored at `revision` into force. Returns whether the document could be
+/// parsed. In a later era the store may hold a different document with the version in force: the
+/// operator has replaced the one that the store lost.
 bool ViewWriter::apply_configuration(const std::string& value,
                                      shared_store::StoreRevision revision) {
   auto configuration = entries_.read_configuration(value);
--- a/src/discovery/view_writer.h
+++ b/src/discovery/view_writer.h
@@ -25,9 +25,11 @@
 
 enum class UpdateOutcome : std::uint8_t {
   kApplied,
-  kSkipped,  ///< The update begins after the revision this node has seen; nothing was applied.
+  /// Nothing was applied: the update begins after the revision this node has seen, or the transfer
+  /// is not newer than the view or its configuration cannot be parsed.
+  kSkipped,
   /// Applied, but the views differ: a change that was reverted between two polls of the other node
-  /// is not in its update. A listing is needed.
+  /// may not be in its update. A listing is needed.
   kMismatch,
   kOutdated,  ///< From a store era that has ended; says nothing about the current state.
 };
@@ -53,12 +55,13 @@
   void on_other_key(OtherKey callback) { other_key_callback_ = std::move(callback); }
 
   /// Makes the view match the listing, except for changes that other nodes reported while the store
-  /// was being listed. Returns whether the listing was useful.
+  /// was being listed. Returns false and changes nothing if the listing is of an ended era, or is
+  /// older than the view and the change log does not reach back to it.
   bool apply_listing(const shared_store::Listing& listing);
   /// Adds the nodes found in a part of a listing, so that they can be asked for a view.
   void add_nodes(const std::vector<shared_store::Change>& items);
   void apply_changes(const shared_store::Changes& changes);
-  /// Applies the configuration read by itself at some time after `seen_revision()`.
+  /// Applies the configuration read separately at some time after `seen_revision()`.
   void apply_configuration_entry(const shared_store::Change& item);
   UpdateOutcome apply_update(const ViewUpdate& update);
   /// Returns the changes since `after` if they are known, otherwise the complete view; nullopt
@@ -75,10 +78,11 @@
   std::optional<shared_store::StoreRevision> seen_revision() const { return seen_revision_; }
   /// Returns the position of the change at `seen_revision()`, if known.
   std::optional<shared_store::StorePosition> position() const;
-  /// The store no longer keeps the change at the position.
+  /// Forgets the position, because the store no longer keeps its change.
   void forget_position();
   /// Records a position known to another node. Returns false if this node knows a different change
-  /// at that revision, which means that one of the two has seen another store era.
+  /// at that revision, which means that one of the two has seen another store era; the reported
+  /// position is then not recorded.
   bool record_position(const shared_store::StorePosition& reported);
   /// Returns the updates to broadcast after a poll that started `age` ago, in the order to send
   /// them.
@@ -97,6 +101,8 @@
   /// Logs one line for a whole batch, because thousands of back ends are added while a fleet
   /// starts.
   void log_added_backends();
+  /// If `revision` is of a later era than the view, marks the back ends removed before as doubtful.
+  /// Returns whether it is.
   bool enter_era(shared_store::StoreRevision revision);
   void apply_first_listing(const shared_store::Listing& listing);
   /// Returns the differences between a listing and the view, in order of revision.
@@ -136,7 +142,7 @@
   /// Back ends whose listed state was newer than the start of the listing. Their change is found
   /// again by a poll and must still be broadcast, although it changes nothing here.
   std::set<gateway::BackendId> newer_than_listing_;
-  bool valid_ = true;
+  bool valid_ = true;  ///< False from invalidate() until the view is replaced or listed again.
   std::string configuration_;  ///< The document in force.
   /// The newest revision at which it is known to be stored.
   shared_store::StoreRevision configuration_revision_;
--- a/src/shared_store/era_tracker.h
+++ b/src/shared_store/era_tracker.h
@@ -33,9 +33,9 @@
   void observe_revision(StoreRevision revision) { note(revision.era(), revision.value()); }
   /// Records that the store's contents have shown that a new era has begun since `ended`.
   void begin_era_after(StoreEra ended) { note(ended.next(), 0); }
-  /// Returns whether the newest answer named its era.
+  /// Returns whether the last received answer named its era.
   bool names_era() const { return last_answer_named_era_; }
-  /// Returns the newest known era; nullopt before the first answer.
+  /// Returns the newest known era; nullopt if nothing is known about the store yet.
   std::optional<StoreEra> known() const { return known_ ? std::optional(era_) : std::nullopt; }
 
  private:
@@ -46,7 +46,7 @@
   StoreEra era_;
   std::uint64_t newest_revision_ = 0;
   bool any_answer_named_era_ = false;   ///< The store has named its era in some answer.
-  bool last_answer_named_era_ = false;  ///< The newest answer named its era.
+  bool last_answer_named_era_ = false;  ///< The last received answer named its era.
 };
 
 }  // namespace ochrespring::shared_store
--- a/src/shared_store/history_span.h
+++ b/src/shared_store/history_span.h
@@ -9,13 +9,13 @@
 
 namespace ochrespring::shared_store {
 
-/// A StorePosition identifies a single change, which a store restored from an older copy may happen
-/// to repeat. A span covers all changes found by one poll: the store matches it only if every
+/// A restored store may assign the same revision to an equal change, so a StorePosition can match
+/// by chance. A span covers all changes found by one poll: the store matches it only if every
 /// change was made again at the same revision, and in that case nothing is lost.
 struct HistorySpan {
   StoreRevision after;    ///< Exclusive.
   StoreRevision through;  ///< Revision of the newest change covered.
-  /// Of the positions of all covered changes, independent of their order.
+  /// Order-independent hash of the positions of all covered changes.
   std::uint64_t digest = 0;
 
   bool operator==(const HistorySpan&) const = default;
--- a/src/shared_store/store.h
+++ b/src/shared_store/store.h
@@ -79,6 +79,7 @@
   /// Reads one page of keys.
   virtual void list_page(const PageRequest& request, StoreCallback<ListPage> done) = 0;
   /// Returns the changes after `after` as soon as there are any, or an empty list after `wait`.
+  /// Contains every change, also several of one key: HistorySpan relies on that.
   /// Fails with kHistoryUnavailable if the store no longer keeps them or has begun a new era since.
   virtual void changes(const std::string& prefix, StoreRevision after, Duration wait,
                        StoreCallback<Changes> done) = 0;
@@ -98,13 +99,13 @@
   /// from now on belong to that era or a later one.
   virtual void observe_revision(StoreRevision /*revision*/) {}
   /// Informs the client that the store has begun a new era after `ended` although its answers did
-  /// not say so: answers to calls sent from now on belong to the next era. Does nothing for a store
-  /// that names its eras.
+  /// not say so: answers to calls sent from now on belong to the next era or a later one, even if
+  /// the store names an earlier era.
   virtual void begin_era_after(StoreEra /*ended*/) {}
-  /// Returns whether the newest answer named its era, which assigns everything reported since to
-  /// that era.
+  /// Returns whether the last received answer named its era. If so, the era of the store's contents
+  /// needs no further check.
   virtual bool names_era() const { return false; }
-  /// Returns the newest known era of the store; nullopt before the first answer.
+  /// Returns the newest known era of the store; nullopt if nothing is known about the store yet.
   virtual std::optional<StoreEra> era() const { return StoreEra(); }
 };
 
