--- a/src/discovery/view_writer.cc
+++ b/src/discovery/view_writer.cc
@@ -381,13 +381,11 @@
 }
 
 UpdateOutcome ViewWriter::apply_transfer(const ViewTransfer& transfer) {
-  if (const auto* snapshot = std::get_if<ViewSnapshot>(&transfer)) {
-    return apply_snapshot(*snapshot);
-  }
-  return apply_delta(std::get<ViewDelta>(transfer));
+  return std::visit([this](const auto& alternative) { return apply_transferred(alternative); },
+                    transfer);
 }
 
-UpdateOutcome ViewWriter::apply_delta(const ViewDelta& delta) {
+UpdateOutcome ViewWriter::apply_transferred(const ViewDelta& delta) {
   if (!seen_revision_ || delta.after > *seen_revision_ || delta.through < *seen_revision_ ||
       delta.through.era() != seen_revision_->era()) {
     return UpdateOutcome::kSkipped;
@@ -404,7 +402,7 @@
   return verify_fingerprint(delta.through, delta.fingerprint);
 }
 
-UpdateOutcome ViewWriter::apply_snapshot(const ViewSnapshot& snapshot) {
+UpdateOutcome ViewWriter::apply_transferred(const ViewSnapshot& snapshot) {
   const bool useful = !seen_revision_ || snapshot.through > *seen_revision_ ||
                       (!valid_ && snapshot.through == *seen_revision_);
   const bool known = snapshot.configuration == configuration_;
--- a/src/discovery/view_writer.h
+++ b/src/discovery/view_writer.h
@@ -111,8 +111,8 @@
   void apply_view_changes(const std::vector<ViewChange>& changes,
                           shared_store::StoreRevision after);
   ViewSnapshot make_snapshot() const;
-  UpdateOutcome apply_snapshot(const ViewSnapshot& snapshot);
-  UpdateOutcome apply_delta(const ViewDelta& delta);
+  UpdateOutcome apply_transferred(const ViewSnapshot& snapshot);
+  UpdateOutcome apply_transferred(const ViewDelta& delta);
   /// Returns kMismatch if the view, now at `through`, is not the one that `fingerprint` was
   /// computed from.
   UpdateOutcome verify_fingerprint(shared_store::StoreRevision through, std::uint64_t fingerprint);
