--- a/src/discovery/fleet_lister.cc
+++ b/src/discovery/fleet_lister.cc
@@ -11,7 +11,7 @@
 using shared_store::ListPage;
 using shared_store::StoreError;
 
-void FleetLister::start(const std::vector<std::string>& boundaries, Done done) {
+void FleetLister::start(const std::vector<std::string>& boundaries, ListingCallback done) {
   run_ = std::make_shared<Run>();
   run_->done = std::move(done);
   run_->ranges.resize(boundaries.size() + 1);
@@ -26,7 +26,7 @@
   }
 }
 
-void FleetLister::resume(ListPage first, Done done) {
+void FleetLister::resume(ListPage first, ListingCallback done) {
   run_ = std::make_shared<Run>();
   run_->done = std::move(done);
   run_->revision = first.revision;
--- a/src/discovery/fleet_watcher.cc
+++ b/src/discovery/fleet_watcher.cc
@@ -16,10 +16,10 @@
 /// Limits the connections of a reader to the store. With 20,000 back ends, a range has 13
 /// sequential pages of 200 keys.
 constexpr std::size_t kMaxRanges = 8;
-/// Number of consecutive polls without history that a follower leaves to the readers before it
-/// lists the store itself. Two seconds have passed by then, in which the readers have either
-/// announced their listing or terminated.
-constexpr std::uint32_t kPollsLeftToReaders = 4;
+/// Number of consecutive failed polls after which a follower that finds no history lists the store
+/// itself. Two seconds have passed by then, in which the readers have either announced their
+/// listing or terminated.
+constexpr std::uint32_t kMaxFollowerPollsBeforeListing = 4;
 
 }  // namespace
 
@@ -44,15 +44,15 @@
       timer_(deps.timers),
       peer_timer_(deps.timers),
       configuration_timer_(deps.timers),
-      refresh_waiters_(deps.clock, deps.timers, settings_.refresh_timeout,
-                       [this] { poll_is_slow_ = polling_; }) {}
+      configuration_waiters_(deps.clock, deps.timers, settings_.refresh_timeout,
+                             [this] { poll_is_slow_ = polling_; }) {}
 
 void FleetWatcher::start() {
   poll();
   schedule_peer_request();
 }
 
-void FleetWatcher::refresh(std::function<void(bool current)> done) {
+void FleetWatcher::refresh_configuration(std::function<void(bool current)> done) {
   const MonotonicTime now = deps_.clock.now();
   if (configuration_current_at_ && now - *configuration_current_at_ < settings_.max_refresh_age) {
     done(true);
@@ -65,7 +65,7 @@
     done(false);
     return;
   }
-  refresh_waiters_.add(std::move(done));
+  configuration_waiters_.add(std::move(done));
   if (!polling_) {
     timer_.disarm();
     poll();
@@ -147,7 +147,7 @@
   ++statistics_.listings;
   const std::size_t ranges =
       std::clamp<std::size_t>(fleet_.backends().size() / kBackendsPerRange, 1, kMaxRanges);
-  lister_.start(writer_.split_points(ranges),
+  lister_.start(writer_.range_boundaries(ranges),
                 [this](const ListingResult& listing) { handle_listing(listing); });
 }
 
@@ -172,12 +172,13 @@
 }
 
 /// A skipped listing does not bring the view up to date: the poll counts as failed although the
-/// store answers. The configuration is read by itself, because it cannot wait for the next listing.
+/// store answers. The configuration is read separately, because it cannot wait for the next
+/// listing.
 void FleetWatcher::skip_listing(shared_store::StoreRevision listed) {
   ++statistics_.listings_skipped;
   deps_.logger.write({logging::Level::kWarning,
                       kComponent,
-                      "listing is older than the view; skipped",
+                      "skipped a listing that is older than the view",
                       {{"era", listed.era().value()},
                        {"listed", listed.value()},
                        {"seen_era", writer_.seen_revision()->era().value()},
@@ -241,7 +242,7 @@
     begin_era();
     return;
   }
-  const auto begin = history_.begin();
+  const auto begin = history_.first_needed_revision();
   if (era_uncertain && newest == shared_store::PositionCheck::kSame && begin && *begin < after) {
     verify_history(*begin);
     return;
@@ -307,7 +308,7 @@
 }
 
 /// The changes after the view are no longer kept, so only a listing shows the current state. In a
-/// large fleet the readers list for all nodes; the configuration is read by itself, because it
+/// large fleet the readers list for all nodes; the configuration is read separately, because it
 /// cannot wait for that.
 void FleetWatcher::handle_unavailable_history() {
   ++statistics_.histories_unavailable;
@@ -321,7 +322,7 @@
   } else if (fleet_.backends().size() >= kBackendsPerRange) {
     read_configuration();
   }
-  if (follows && failed_in_row_ < kPollsLeftToReaders) {
+  if (follows && failed_in_row_ < kMaxFollowerPollsBeforeListing) {
     finish_poll(PollResult::kStale, poll_started_at_, "");
   } else {
     list_all();
@@ -357,7 +358,7 @@
 void FleetWatcher::broadcast_poll() {
   const Duration period = reading_assignment().role == ReadingRole::kReader
                               ? settings_.reader_period
-                              : settings_.period;
+                              : settings_.symmetric_period;
   const bool recently_updated =
       update_received_at_ && deps_.clock.now() - *update_received_at_ < period / 2;
   if (!broadcast_update_ || recently_updated) {
@@ -441,9 +442,10 @@
   }
   listing_required_ = true;
   if (!polling_) {
-    timer_.arm(follows ? settings_.period / 2 + deps_.random.part_of(settings_.period)
-                       : deps_.random.part_of(settings_.relist_spread),
-               [this] { poll(); });
+    timer_.arm(
+        follows ? settings_.symmetric_period / 2 + deps_.random.part_of(settings_.symmetric_period)
+                : deps_.random.part_of(settings_.relist_spread),
+        [this] { poll(); });
   }
 }
 
@@ -468,17 +470,19 @@
   // A poll that started long ago says nothing about the present. Either this node was suspended
   // meanwhile and a second poll is quicker, or the store is slow.
   const bool too_old = now - as_of >= settings_.max_refresh_age;
-  if (success && too_old && !refresh_waiters_.empty() && !std::exchange(polled_again_, true)) {
+  if (success && too_old && !configuration_waiters_.empty() &&
+      !std::exchange(polled_again_, true)) {
     timer_.disarm();
     poll();
     return;
   }
   polled_again_ = false;
   if (result == PollResult::kStale) {
-    // read_configuration() is running and completes the waiting refreshes.
+    // A separate read of the configuration is running or scheduled. It completes the waiting
+    // requests if it succeeds; otherwise they time out.
     return;
   }
-  refresh_waiters_.complete(success && !too_old);
+  configuration_waiters_.complete(success && !too_old);
 }
 
 void FleetWatcher::note_store_state(bool reachable, std::string_view detail) {
@@ -582,20 +586,20 @@
   }
   notify_covered();
   note_configuration_current(at);
-  if (current_callback_) {
-    current_callback_();
+  if (view_current_callback_) {
+    view_current_callback_();
   }
 }
 
-/// A configuration known to be current completes all waiting refreshes.
+/// A configuration known to be current completes all waiting requests.
 void FleetWatcher::note_configuration_current(MonotonicTime at) {
   if (configuration_current_at_ && at <= *configuration_current_at_) {
     return;
   }
   configuration_current_at_ = at;
   configuration_timer_.disarm();
-  if (!refresh_waiters_.empty() && deps_.clock.now() - at < settings_.max_refresh_age) {
-    refresh_waiters_.complete(true);
+  if (!configuration_waiters_.empty() && deps_.clock.now() - at < settings_.max_refresh_age) {
+    configuration_waiters_.complete(true);
   }
 }
 
--- a/src/discovery/tests/shared_polls_test.cc
+++ b/src/discovery/tests/shared_polls_test.cc
@@ -37,7 +37,7 @@
 /// A store that keeps its state at each revision and can be restored to it.
 class VersionedStore {
  public:
-  VersionedStore() { past_[now_] = {}; }
+  VersionedStore() { states_[now_] = {}; }
 
   void write(const std::string& backend, std::optional<bool> draining) {
     now_ = now_.next();
@@ -47,16 +47,16 @@
       state_.view.erase(backend);
     }
     state_.written[backend] = now_.value();
-    past_[now_] = state_;
+    states_[now_] = state_;
   }
   /// Restores the state before the last `changes` changes and begins a new era.
   void restore(std::uint64_t changes) {
     const std::uint64_t number = now_.value() - std::min(changes, now_.value());
-    state_ = past_.at(StoreRevision(number, now_.era()));
+    state_ = states_.at(StoreRevision(number, now_.era()));
     const shared_store::StoreEra era = now_.era().next();
     // The history of the previous era up to there is part of the new one.
     for (std::uint64_t i = 0; i <= number; ++i) {
-      past_[StoreRevision(i, era)] = past_.at(StoreRevision(i, now_.era()));
+      states_[StoreRevision(i, era)] = states_.at(StoreRevision(i, now_.era()));
     }
     now_ = StoreRevision(number, era);
   }
@@ -68,8 +68,8 @@
     }
     return listing;
   }
-  /// Returns only the last change of each key, like a real store; nullopt if `after` is of another
-  /// era.
+  /// Returns only the last change of each key: a view must not depend on the earlier ones. Returns
+  /// nullopt if `after` is of another era.
   std::optional<Changes> changes_after(StoreRevision after) const {
     if (after.era() != now_.era()) {
       return std::nullopt;
@@ -86,8 +86,8 @@
     }
     return changes;
   }
-  const View& at(StoreRevision revision) const { return past_.at(revision).view; }
-  const View& list_view() const { return state_.view; }
+  const View& at(StoreRevision revision) const { return states_.at(revision).view; }
+  const View& current_view() const { return state_.view; }
 
  private:
   struct State {
@@ -106,7 +106,7 @@
 
   StoreRevision now_;
   State state_;
-  std::map<StoreRevision, State> past_;
+  std::map<StoreRevision, State> states_;
 };
 
 struct ViewingNode {
@@ -229,7 +229,7 @@
               }
             }
           }
-          RC_ASSERT(poller.view() == store.list_view());
+          RC_ASSERT(poller.view() == store.current_view());
       }
       for (const auto& node : nodes) {
         RC_ASSERT(node->view() == store.at(*node->writer.seen_revision()));
@@ -238,7 +238,8 @@
   }));
 }
 
-TEST_CASE("a log that is too long or too old offers fewer changes and a later start revision") {
+TEST_CASE(
+    "a change log that is too long sends no changes, one that is too old only the recent ones") {
   ChangeLog log;
   const MonotonicTime start{};
   log.reset(StoreRevision(10));
@@ -339,7 +340,9 @@
   CHECK(updates[0].changes.size() == 15);
 }
 
-TEST_CASE("a listing with newer pages is not compared until the view has caught up with them") {
+TEST_CASE(
+    "the fingerprint is not compared until the view covers the newest change on a listing's "
+    "pages") {
   simulation::VirtualTime time;
   const PlainCodec codec;
   logging::NullLogger logger;
@@ -444,7 +447,7 @@
 
 }  // namespace
 
-TEST_CASE("a node does not poll while others do, and polls in time when they are silent") {
+TEST_CASE("a node polls only if it receives no updates for its poll period") {
   SharingFixture fixture;
   for (int i = 0; i != 20; ++i) {
     fixture.advance(900ms);
@@ -456,7 +459,7 @@
   CHECK(fixture.watcher.statistics().updates_taken == 20);
 }
 
-TEST_CASE("an update that does not connect to the view does not postpone this node's poll") {
+TEST_CASE("an update that starts after the seen revision does not postpone this node's poll") {
   SharingFixture fixture;
   fixture.advance(900ms);
   fixture.watcher.receive_update(empty_update(12, 14));
@@ -481,13 +484,13 @@
 }
 
 TEST_CASE("a view with a different fingerprint is listed again, also during a poll") {
-  for (const bool under_way : {false, true}) {
+  for (const bool during_poll : {false, true}) {
     SharingFixture fixture;
-    fixture.advance(under_way ? 1500ms : 500ms);
+    fixture.advance(during_poll ? 1500ms : 500ms);
     ViewUpdate update = empty_update(10, 11);
     update.fingerprint = 77;
     fixture.watcher.receive_update(update);
-    if (under_way) {
+    if (during_poll) {
       take(fixture.store.changes_calls).done(Changes{});
     }
     fixture.advance(250ms);
@@ -501,8 +504,9 @@
 TEST_CASE("settings for a staleness bound leave time for a slow answer and a retry") {
   for (const Duration bound : {Duration(2s), Duration(3s), Duration(18s)}) {
     const FleetWatcherSettings settings = settings_for_staleness_bound(bound);
-    CHECK(settings.period + settings.spread + settings.retry_delay < bound * 9 / 10);
-    CHECK(settings.max_refresh_age >= settings.period + settings.spread);
+    CHECK(settings.symmetric_period + settings.random_spread + settings.retry_delay <
+          bound * 9 / 10);
+    CHECK(settings.max_refresh_age >= settings.symmetric_period + settings.random_spread);
     CHECK(settings.max_refresh_age < bound * 8 / 10);
   }
 }
@@ -569,8 +573,8 @@
       fetches.push_back(std::move(done));
     });
   }
-  /// An update that does not connect to this node's view, sent by another node.
-  void receive_unjoinable(std::uint64_t after, const std::string& holder) {
+  /// Receives an update of another node that starts after the revision this node has seen.
+  void receive_update_after_gap(std::uint64_t after, const std::string& holder) {
     ViewUpdate update = empty_update(after, after + 2);
     update.view_address = Endpoint(holder);
     watcher.receive_update(update, [this] { ++covered; });
@@ -591,10 +595,10 @@
 
 }  // namespace
 
-TEST_CASE("changes that do not connect to the view are fetched from their sender without a poll") {
+TEST_CASE("changes missing before an update are fetched from its sender without a poll") {
   FetchingFixture fixture;
   fixture.advance(900ms);
-  fixture.receive_unjoinable(12, "holder");
+  fixture.receive_update_after_gap(12, "holder");
   CHECK(fixture.covered == 0);
   fixture.advance(110ms);
   REQUIRE(fixture.fetches.size() == 1);
@@ -608,7 +612,7 @@
   CHECK(fixture.watcher.statistics().updates_taken == 1);
 }
 
-TEST_CASE("an update that others follow does not postpone this node's poll") {
+TEST_CASE("an update that is not the last of its poll does not postpone this node's poll") {
   SharingFixture fixture;
   fixture.advance(900ms);
   ViewUpdate update = empty_update(10, 11);
@@ -635,17 +639,19 @@
   }
 }
 
-TEST_CASE("many updates that do not connect cause one fetch, from the newest sender") {
+TEST_CASE(
+    "many updates that start after the seen revision cause one fetch, from the newest sender") {
   FetchingFixture fixture;
   for (int i = 0; i != 5; ++i) {
-    fixture.receive_unjoinable(12 + static_cast<std::uint64_t>(i), "holder" + std::to_string(i));
+    fixture.receive_update_after_gap(12 + static_cast<std::uint64_t>(i),
+                                     "holder" + std::to_string(i));
   }
   fixture.advance(110ms);
   REQUIRE(fixture.fetches.size() == 1);
   CHECK(fixture.holders[0] == Endpoint("holder4"));
   // Complete views are large: the next fetch waits for half a period.
   fixture.fetches[0](make_snapshot_at(14, "7"));
-  fixture.receive_unjoinable(20, "holder5");
+  fixture.receive_update_after_gap(20, "holder5");
   fixture.advance(380ms);
   CHECK(fixture.fetches.size() == 1);
   fixture.advance(120ms);
@@ -656,7 +662,7 @@
   for (const bool answers : {false, true}) {
     FetchingFixture fixture;
     fixture.advance(900ms);
-    fixture.receive_unjoinable(12, "holder");
+    fixture.receive_update_after_gap(12, "holder");
     fixture.advance(110ms);
     REQUIRE(fixture.fetches.size() == 1);
     fixture.fetches[0](answers ? std::optional(make_snapshot_at(9, "2")) : std::nullopt);
@@ -674,7 +680,7 @@
   fixture.watcher.receive_update(differing);
   fixture.advance(250ms);
   REQUIRE(fixture.store.lists.size() == 1);
-  fixture.receive_unjoinable(12, "holder");
+  fixture.receive_update_after_gap(12, "holder");
   fixture.advance(110ms);
   REQUIRE(fixture.fetches.size() == 1);
   ViewSnapshot snapshot = make_snapshot_at(14, "7");
@@ -692,19 +698,19 @@
 TEST_CASE("the delay between failed polls grows, and a success resets it") {
   SharingFixture fixture;
   fixture.advance(1500ms);
-  std::vector<MonotonicTime> tries;
+  std::vector<MonotonicTime> attempts;
   for (int i = 0; i != 30; ++i) {
     REQUIRE(fixture.store.changes_calls.size() == 1);
-    tries.push_back(fixture.time.now());
+    attempts.push_back(fixture.time.now());
     take(fixture.store.changes_calls).done(fail(StoreErrc::kNotExecuted, "down"));
     while (fixture.store.changes_calls.empty()) {
       fixture.advance(10ms);
     }
-    CHECK(fixture.time.now() - tries.back() >= 150ms);
-    CHECK(fixture.time.now() - tries.back() <= 1210ms);
+    CHECK(fixture.time.now() - attempts.back() >= 150ms);
+    CHECK(fixture.time.now() - attempts.back() <= 1210ms);
   }
   // 30 attempts without increasing delays take 9 s at most.
-  CHECK(tries.back() - tries.front() > 12s);
+  CHECK(attempts.back() - attempts.front() > 12s);
   take(fixture.store.changes_calls).done(Changes{});
   take(fixture.store.lists)(Listing{{}, StoreRevision(10)});
   fixture.advance(1500ms);
