--- a/src/admission/admission_control.cc
+++ b/src/admission/admission_control.cc
@@ -20,7 +20,8 @@
 constexpr Duration kMaxJitter = std::chrono::seconds(1);
 /// Backoffs whose ends differ by at most this are treated as the same.
 constexpr Duration kSameBackoffTolerance = milliseconds(500);
-/// Limit of a backoff reported by another node; after it this node sends to the back end itself.
+/// Upper bound of the time for which a backoff reported by another node makes a back end less
+/// preferred.
 constexpr Duration kMaxReportedBackoff = std::chrono::minutes(1);
 
 constexpr metrics::CounterRow<AdmissionStatistics> kCounters[] = {
@@ -31,9 +32,9 @@
     {"backoffs_told", "Backoffs of back ends reported by other nodes",
      &AdmissionStatistics::backoffs_reported},
     {"leavings_heard", "Back ends that announced to this node first that they are leaving",
-     &AdmissionStatistics::departures_received},
+     &AdmissionStatistics::leaving_received},
     {"leavings_told", "Back ends first reported as leaving by another node",
-     &AdmissionStatistics::departures_reported},
+     &AdmissionStatistics::leaving_reported},
 };
 
 }  // namespace
@@ -130,7 +131,7 @@
   if (dependencies_.fleet.is_leaving(backend)) {
     return;
   }
-  ++statistics_.departures_received;
+  ++statistics_.leaving_received;
   dependencies_.fleet.note_leaving(backend);
   log("back end is leaving", backend, "answer", {});
   broadcast_({.backend = backend, .leaving = true, .backoff = {}});
@@ -138,7 +139,7 @@
 
 void AdmissionControl::receive(const BackendNotice& notice) {
   if (notice.leaving && !dependencies_.fleet.is_leaving(notice.backend)) {
-    ++statistics_.departures_reported;
+    ++statistics_.leaving_reported;
     dependencies_.fleet.note_leaving(notice.backend);
     log("back end is leaving", notice.backend, "node", {});
   }
@@ -179,7 +180,7 @@
 
 void AdmissionControl::add_metrics(metrics::SampleSink& sink) const {
   metrics::add_counters(kCounters, statistics_, sink);
-  sink.gauge({"backends_backed_off", "Back ends that have asked this node to back off"},
+  sink.gauge({"backends_backed_off", "Back ends that are in a backoff period asked of this node"},
              static_cast<double>(backoffs_.active_count(dependencies_.clock.now())));
 }
 
--- a/src/admission/admission_control.h
+++ b/src/admission/admission_control.h
@@ -24,8 +24,8 @@
   std::uint64_t backoffs_unreadable = 0;  ///< Refusals whose backoff period could not be parsed.
   std::uint64_t backoffs_reported = 0;    ///< Backoffs reported by other nodes.
   /// Back ends that announced to this node first that they are leaving.
-  std::uint64_t departures_received = 0;
-  std::uint64_t departures_reported = 0;  ///< Back ends first reported as leaving by another node.
+  std::uint64_t leaving_received = 0;
+  std::uint64_t leaving_reported = 0;  ///< Back ends first reported as leaving by another node.
 };
 
 /// Combines the reasons for which this node must not send requests to a back end: it has asked this
@@ -65,7 +65,7 @@
                                                 MonotonicTime now) const override;
   void note_answer(const gateway::BackendAnswer& answer) override;
 
-  /// An incarnation of a back end was added to the fleet view.
+  /// Called when an incarnation of a back end was added to the fleet view.
   void note_backend_added(const gateway::BackendId& backend) {
     backoffs_.note_added(backend, dependencies_.clock.now());
   }
--- a/src/admission/backoff_table.cc
+++ b/src/admission/backoff_table.cc
@@ -86,8 +86,9 @@
                     [now](const auto& entry) { return entry.second.until > now; }));
 }
 
-/// Drops expired entries whenever the table has doubled in size. The others must stay; each belongs
-/// to an incarnation of a back end that has answered this node.
+/// Drops expired entries when the table has doubled in size since the last time. Unexpired entries
+/// stay; their number is bounded by the incarnations that have asked this node to back off or have
+/// inherited a backoff.
 void BackoffTable::prune(MonotonicTime now) {
   if (entries_.size() < prune_at_) {
     return;
--- a/src/admission/backoff_table.h
+++ b/src/admission/backoff_table.h
@@ -13,9 +13,10 @@
 
 /// Tracks the backoff periods that back ends have asked this node for.
 ///
-/// A back end gets no requests during its backoff period. Afterwards it gets one request, and with
-/// each good answer twice as many, so that it does not receive all waiting requests at once. Of two
-/// overlapping backoff periods the later end applies.
+/// A back end gets no requests during its backoff period. Afterwards one request is allowed; each
+/// good answer doubles the total number allowed, until the back end counts as recovered. So it does
+/// not receive all waiting requests at once. Of two overlapping backoff periods the later end
+/// applies.
 ///
 /// Entries belong to an incarnation of a back end and outlive its registration: a back end that
 /// registers again is still backing off, one that has restarted is not. An answer does not name the
@@ -36,7 +37,8 @@
   /// fully recovered.
   bool note_good_answer(const gateway::BackendId& backend, MonotonicTime sent);
 
-  /// An incarnation of a back end has become known; it may inherit a backoff, see above.
+  /// Called when an incarnation of a back end has become known; it may inherit a backoff, see
+  /// above.
   void note_added(const gateway::BackendId& backend, MonotonicTime now);
   /// Returns whether the back end is in its backoff period.
   bool is_backing_off(const gateway::BackendId& backend, MonotonicTime now) const;
@@ -64,8 +66,8 @@
   static constexpr std::size_t kMinPruneSize = 1024;
   /// A restarted back end registers within this time of its first answers.
   static constexpr Duration kRegistrationLag{std::chrono::seconds(3)};
-  /// Limit of an inherited backoff; after it the new incarnation is sent a request and can ask
-  /// itself.
+  /// Limit of an inherited backoff; afterwards the new incarnation is sent a request, and can ask
+  /// for its own backoff period.
   static constexpr Duration kMaxInheritedBackoff{std::chrono::seconds(10)};
 
   struct Entry {
--- a/src/admission/tests/backoff_table_test.cc
+++ b/src/admission/tests/backoff_table_test.cc
@@ -88,8 +88,8 @@
         BackoffTable table;
         std::map<std::string, MonotonicTime> ends;  // Reference model.
         MonotonicTime now = at(0s);
-        for (const auto& [server, kind, milliseconds] : steps) {
-          const std::string name = "s@" + std::to_string(server % 3);
+        for (const auto& [backend_number, kind, milliseconds] : steps) {
+          const std::string name = "s@" + std::to_string(backend_number % 3);
           const gateway::BackendId id(name);
           const Duration span = std::chrono::milliseconds(milliseconds % 5000);
           switch (kind % 4) {
--- a/src/gateway_node/peer_channel.cc
+++ b/src/gateway_node/peer_channel.cc
@@ -18,8 +18,8 @@
 /// are told: only one of them is told of the ends, by turns.
 peer_load::WorkReport without_ends(peer_load::WorkReport report) {
   for (peer_load::EngineWork& work : report.engines) {
-    work.ended = 0;
-    work.failed = 0;
+    work.ended_attempts = 0;
+    work.failed_attempts = 0;
   }
   return report;
 }
--- a/src/gateway_node/peer_news.cc
+++ b/src/gateway_node/peer_news.cc
@@ -158,8 +158,8 @@
       continue;
     }
     gateway::BackendLoad& load = world_.loads.of(work.engine);
-    if (work.ended != 0) {
-      load.note_told_ends(work.ended, work.failed, now);
+    if (work.ended_attempts != 0) {
+      load.note_told_ends(work.ended_attempts, work.failed_attempts, now);
     }
     if (work.unresponsive) {
       load.note_told_silence(now);
--- a/src/gateway_node/tests/peer_channel_test.cc
+++ b/src/gateway_node/tests/peer_channel_test.cc
@@ -28,13 +28,13 @@
         channel(nodes, {.relays = {.from_nodes = from_nodes}, .view_address = Endpoint(name)},
                 {.work =
                      [this](const peer_load::WorkReport& report) {
-                       ended += report.engines.at(0).ended;
+                       ended += report.engines.at(0).ended_attempts;
                      },
                  .relayed_work = [](const auto&) {},
                  .work_to_relay =
                      [this](const peer_load::WorkReport& report) {
                        ++to_relay;
-                       ended_to_relay += report.engines.at(0).ended;
+                       ended_to_relay += report.engines.at(0).ended_attempts;
                      },
                  .update =
                      [this](const discovery::ViewUpdate& update, std::function<void()> covered) {
@@ -126,7 +126,7 @@
   return {NodeId("a0"),
           1,
           sequence,
-          {{.engine = gateway::BackendId("e"), .ended = 1, .prefilled_parts = {}}}};
+          {{.engine = gateway::BackendId("e"), .ended_attempts = 1, .prefilled_parts = {}}}};
 }
 
 }  // namespace
--- a/src/peer_load/datagram_socket.h
+++ b/src/peer_load/datagram_socket.h
@@ -18,8 +18,8 @@
  public:
   using Receive = std::function<void(std::string_view bytes)>;
 
-  /// Binds a socket to `endpoint`; `receive` is called for each datagram. Fails with
-  /// kAddressInvalid or kAddressInUse.
+  /// Binds a socket to `endpoint`; `receive` is called for each datagram. Datagrams longer than
+  /// 8192 bytes are truncated. Fails with kAddressInvalid or kAddressInUse.
   static Result<std::unique_ptr<DatagramSocket>, http::HttpError> bind(http::EventLoop& loop,
                                                                        const Endpoint& endpoint,
                                                                        Receive receive);
@@ -27,7 +27,8 @@
   DatagramSocket(const DatagramSocket&) = delete;
   DatagramSocket& operator=(const DatagramSocket&) = delete;
 
-  /// Sends a datagram, or drops it if the socket is not writable at once.
+  /// Sends a datagram, or drops it if `endpoint` cannot be parsed or the socket is not writable at
+  /// once.
   void send(const Endpoint& endpoint, std::string_view bytes);
   /// Returns the local address, with the port that was assigned.
   Endpoint bound() const;
--- a/src/peer_load/peer_work.cc
+++ b/src/peer_load/peer_work.cc
@@ -20,10 +20,10 @@
   for (const EngineWork& work : report.engines) {
     Engine& engine = direct_[work.engine];
     drop_expired(engine, now);
-    if (engine.nodes.empty()) {
+    if (engine.reports_by_node.empty()) {
       engine.oldest_report_at = now;
     }
-    NodeReport& latest = engine.nodes[report.node];
+    NodeReport& latest = engine.reports_by_node[report.node];
     // Datagrams may arrive out of order.
     if (latest.incarnation == report.incarnation && latest.sequence > report.sequence) {
       continue;
@@ -62,7 +62,7 @@
     return found->second.sum;
   }
   EngineWorkload sum;
-  for (const auto& [node, latest] : found->second.nodes) {
+  for (const auto& [node, latest] : found->second.reports_by_node) {
     if (now - latest.received_at <= kReportLifetime) {
       sum += latest.work;
     }
@@ -77,18 +77,18 @@
     return {};
   }
   EngineWorkload others = found->second.work;
-  if (own_) {
-    subtract(others, own_(engine));
+  if (own_work_) {
+    subtract(others, own_work_(engine));
   }
   return others;
 }
 
 void PeerWork::drop_expired(Engine& engine, MonotonicTime now) {
-  if (engine.nodes.empty() || now - engine.oldest_report_at <= kReportLifetime) {
+  if (engine.reports_by_node.empty() || now - engine.oldest_report_at <= kReportLifetime) {
     return;
   }
   engine.oldest_report_at = now;
-  std::erase_if(engine.nodes, [&](const auto& entry) {
+  std::erase_if(engine.reports_by_node, [&](const auto& entry) {
     const NodeReport& latest = entry.second;
     const bool expired = now - latest.received_at > kReportLifetime;
     if (expired) {
--- a/src/peer_load/peer_work.h
+++ b/src/peer_load/peer_work.h
@@ -16,19 +16,19 @@
 /// while relays change, so the larger value is used.
 ///
 /// A report is valid until a newer one of the same node names the engine, or for `kReportLifetime`,
-/// because a node that died or was partitioned does not report the end of its work.
+/// because a node that terminated or was partitioned does not report the end of its work.
 ///
 /// Performs no I/O. Not thread-safe.
 class PeerWork final : public gateway::PeerView {
  public:
-  /// Two and a half times the interval at which ongoing work is reported again.
+  /// 2.5 times WorkAnnouncer::kRefreshInterval.
   static constexpr Duration kReportLifetime{std::chrono::milliseconds(2500)};
 
   /// Returns this node's own work at an engine, which the sums of relays include.
   using OwnWork = std::function<gateway::EngineWorkload(const gateway::BackendId& engine)>;
 
-  /// Without `own`, nothing is subtracted from relayed sums.
-  explicit PeerWork(OwnWork own = {}) : own_(std::move(own)) {}
+  /// Without `own_work`, nothing is subtracted from relayed sums.
+  explicit PeerWork(OwnWork own_work = {}) : own_work_(std::move(own_work)) {}
 
   void apply(const WorkReport& report, MonotonicTime now);
   /// Applies the sums over all nodes that a relay has sent.
@@ -48,10 +48,10 @@
     MonotonicTime received_at{};
   };
 
-  /// The reports of all nodes on one engine. The sum is kept up to date, so that neither a report
-  /// nor a placement iterates over all nodes.
+  /// The reports of all nodes on one engine. The sum is kept up to date, so that neither applying a
+  /// report nor choosing an engine iterates over all nodes.
   struct Engine {
-    std::map<NodeId, NodeReport> nodes;
+    std::map<NodeId, NodeReport> reports_by_node;
     gateway::EngineWorkload sum;
     MonotonicTime oldest_report_at{};  ///< Lower bound of `received_at` of all entries.
   };
@@ -65,7 +65,7 @@
   gateway::EngineWorkload relayed_work_at(const gateway::BackendId& engine,
                                           MonotonicTime now) const;
 
-  OwnWork own_;
+  OwnWork own_work_;
   std::map<gateway::BackendId, Engine> direct_;
   std::map<gateway::BackendId, RelayedSum> relayed_;
 };
--- a/src/peer_load/tests/peer_load_test.cc
+++ b/src/peer_load/tests/peer_load_test.cc
@@ -1,4 +1,5 @@
-// Tests the exchange of work reports between nodes, with datagrams lost, delayed and duplicated.
+// Tests what nodes and relays report about work at engines, and how reports that arrive late or out
+// of order are applied.
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
@@ -128,8 +129,8 @@
       [&](const WorkReport& sums) { sent.push_back(sums); });
   for (const char* node : {"a", "b"}) {
     WorkReport report = make_report(node, 1, 2, 300);
-    report.engines[0].ended = 3;
-    report.engines[0].failed = 1;
+    report.engines[0].ended_attempts = 3;
+    report.engines[0].failed_attempts = 1;
     report.engines[0].unresponsive = true;
     report.engines[0].prefilled_parts = {77};
     work.apply(report, time.now());
@@ -143,8 +144,8 @@
   const EngineWork& sum = sent[0].engines[0];
   CHECK(sum.requests == 4);
   CHECK(sum.pending_prefill_tokens == 600);
-  CHECK(sum.ended == 6);
-  CHECK(sum.failed == 2);
+  CHECK(sum.ended_attempts == 6);
+  CHECK(sum.failed_attempts == 2);
   CHECK(sum.unresponsive);
   CHECK(sum.prefilled_parts.size() == 2);
 }
@@ -211,9 +212,9 @@
   fixture.announcer.note_change(BackendId("e"));
   fixture.time.run_until(fixture.time.now() + 10ms);
   REQUIRE(fixture.sent.size() == 2);
-  CHECK(fixture.sent[0].engines[0].ended == 2);
-  CHECK(fixture.sent[0].engines[0].failed == 1);
-  CHECK(fixture.sent[1].engines[0].ended == 0);
+  CHECK(fixture.sent[0].engines[0].ended_attempts == 2);
+  CHECK(fixture.sent[0].engines[0].failed_attempts == 1);
+  CHECK(fixture.sent[1].engines[0].ended_attempts == 0);
 }
 
 TEST_CASE("a node that starts is sent all cached parts, in datagrams of valid size") {
--- a/src/peer_load/types.h
+++ b/src/peer_load/types.h
@@ -16,11 +16,13 @@
   gateway::BackendId engine;
   std::uint32_t requests = 0;
   std::uint64_t pending_prefill_tokens = 0;  ///< Input tokens that are not prefilled yet.
-  /// Attempts that ended since the last report and reflect the health of the engine.
-  std::uint32_t ended = 0;
-  std::uint32_t failed = 0;   ///< Those of `ended` that failed.
-  bool unresponsive = false;  ///< The engine has just been unresponsive to this node.
-  /// Keys of shared prompt parts that were prefilled since the last report.
+  /// Attempts that ended since the last report, without those that say nothing about the health of
+  /// the engine, such as attempts that it refused or that the caller abandoned.
+  std::uint32_t ended_attempts = 0;
+  std::uint32_t failed_attempts = 0;  ///< Those of `ended_attempts` that failed.
+  bool unresponsive = false;          ///< The engine has just been unresponsive to this node.
+  /// Keys of shared prompt parts that the engine has prefilled since the last report or, in a reply
+  /// to PartsRequest, is assumed to have cached.
   std::vector<std::uint64_t> prefilled_parts;
 
   template <class Archive>
@@ -28,8 +30,8 @@
     archive& engine;
     archive& requests;
     archive& pending_prefill_tokens;
-    archive& ended;
-    archive& failed;
+    archive& ended_attempts;
+    archive& failed_attempts;
     archive& unresponsive;
     archive& prefilled_parts;
   }
--- a/src/peer_load/work_announcer.cc
+++ b/src/peer_load/work_announcer.cc
@@ -23,9 +23,9 @@
   }
 }
 
-void WorkAnnouncer::note_unresponsive(const gateway::BackendId& backend) {
-  unresponsive_.insert(backend);
-  note_change(backend);
+void WorkAnnouncer::note_unresponsive(const gateway::BackendId& engine) {
+  unresponsive_.insert(engine);
+  note_change(engine);
 }
 
 void WorkAnnouncer::note_attempt_ends(const gateway::BackendId& engine, std::uint32_t ended,
@@ -47,8 +47,8 @@
     if (work.unresponsive) {
       unresponsive_.insert(work.engine);
     }
-    if (work.ended != 0) {
-      note_attempt_ends(work.engine, work.ended, work.failed);
+    if (work.ended_attempts != 0) {
+      note_attempt_ends(work.engine, work.ended_attempts, work.failed_attempts);
     }
     note_prefilled_parts(work.engine, work.prefilled_parts);
   }
@@ -59,21 +59,21 @@
     EngineWork work = work_at(engine);
     work.unresponsive = unresponsive_.erase(engine) != 0;
     if (const auto ends = attempt_ends_.extract(engine)) {
-      work.ended = ends.mapped().ended;
-      work.failed = ends.mapped().failed;
+      work.ended_attempts = ends.mapped().ended;
+      work.failed_attempts = ends.mapped().failed;
     }
     if (auto parts = prefilled_parts_.extract(engine)) {
       work.prefilled_parts = std::move(parts.mapped());
     }
     if (work.requests == 0) {
-      busy_.erase(engine);
+      engines_in_use_.erase(engine);
     } else {
-      busy_.insert(engine);
+      engines_in_use_.insert(engine);
     }
     append(std::move(work), send_);
   }
   flush(send_);
-  if (refreshes_ && !busy_.empty() && !refresh_timer_.armed()) {
+  if (refreshes_ && !engines_in_use_.empty() && !refresh_timer_.armed()) {
     refresh_timer_.arm(kRefreshInterval, [this] { refresh(); });
   }
 }
@@ -100,20 +100,20 @@
 }
 
 void WorkAnnouncer::append(EngineWork work, const Send& send) {
-  while (parts_in_report_ + work.prefilled_parts.size() > kMaxParts) {
+  while (parts_in_report_ + work.prefilled_parts.size() > kMaxPartsPerReport) {
     EngineWork piece = work;
-    piece.prefilled_parts.resize(kMaxParts - parts_in_report_);
+    piece.prefilled_parts.resize(kMaxPartsPerReport - parts_in_report_);
     work.prefilled_parts.erase(
         work.prefilled_parts.begin(),
         work.prefilled_parts.begin() + static_cast<std::ptrdiff_t>(piece.prefilled_parts.size()));
     report_.engines.push_back(std::move(piece));
     flush(send);
-    work.ended = 0;
-    work.failed = 0;
+    work.ended_attempts = 0;
+    work.failed_attempts = 0;
   }
   parts_in_report_ += work.prefilled_parts.size();
   report_.engines.push_back(std::move(work));
-  if (report_.engines.size() == kMaxEngines) {
+  if (report_.engines.size() == kMaxEnginesPerReport) {
     flush(send);
   }
 }
@@ -129,7 +129,7 @@
 }
 
 void WorkAnnouncer::refresh() {
-  changed_.insert(busy_.begin(), busy_.end());
+  changed_.insert(engines_in_use_.begin(), engines_in_use_.end());
   if (!changed_.empty()) {
     announce();
   }
--- a/src/peer_load/work_announcer.h
+++ b/src/peer_load/work_announcer.h
@@ -36,12 +36,13 @@
 
   /// Schedules a report on the engine, because the work there has changed.
   void note_change(const gateway::BackendId& engine);
-  /// Schedules a report that the back end is unresponsive or cannot be reached.
-  void note_unresponsive(const gateway::BackendId& backend);
+  /// Schedules a report that the engine is unresponsive or cannot be reached.
+  void note_unresponsive(const gateway::BackendId& engine);
   /// Counts an attempt at an engine that has ended; included in the next report on the engine.
   void note_attempt_end(const gateway::BackendId& engine, bool failed) {
     note_attempt_ends(engine, 1, failed ? 1 : 0);
   }
+  /// As note_attempt_end(), for `ended` attempts of which `failed` have failed.
   void note_attempt_ends(const gateway::BackendId& engine, std::uint32_t ended,
                          std::uint32_t failed);
   /// Schedules a report that an engine prefills shared prompt parts.
@@ -60,8 +61,8 @@
 
   /// Limits for one report, so that it fits into a datagram: a part takes 10 bytes, an engine about
   /// 45.
-  static constexpr std::size_t kMaxParts = 400;
-  static constexpr std::size_t kMaxEngines = 80;
+  static constexpr std::size_t kMaxPartsPerReport = 400;
+  static constexpr std::size_t kMaxEnginesPerReport = 80;
 
   void announce();
   /// Adds to the report, and sends it whenever it is full.
@@ -77,7 +78,8 @@
   WorkReport report_;  ///< `engines` is filled for each datagram.
   std::size_t parts_in_report_ = 0;
   std::set<gateway::BackendId> changed_;
-  std::set<gateway::BackendId> busy_;
+  /// Engines whose last report had ongoing work; refreshed.
+  std::set<gateway::BackendId> engines_in_use_;
   std::set<gateway::BackendId> unresponsive_;
   struct AttemptEnds {
     std::uint32_t ended = 0;
--- a/src/quarantine/crash_announcer.cc
+++ b/src/quarantine/crash_announcer.cc
@@ -33,11 +33,11 @@
       refresh_timer_(timers) {}
 
 void CrashAnnouncer::note_change(const RequestFingerprint& request) {
-  due_.insert(request);
+  unsent_.insert(request);
   if (!options_.resend_delays.empty()) {
     resends_[request] = {.due = clock_.now() + options_.resend_delays.front(), .resent = 0};
     arm_resend_timer();
-    refreshed_.insert(request);
+    refresh_candidates_.insert(request);
     arm_refresh_timer();
   }
   if (!batch_timer_.armed()) {
@@ -46,7 +46,7 @@
 }
 
 void CrashAnnouncer::flush() {
-  send(std::exchange(due_, {}), send_);
+  send(std::exchange(unsent_, {}), send_);
 }
 
 void CrashAnnouncer::arm_resend_timer() {
@@ -68,7 +68,7 @@
     if (resend.due > now) {
       continue;
     }
-    due_.insert(current->first);
+    unsent_.insert(current->first);
     if (++resend.resent == options_.resend_delays.size()) {
       resends_.erase(current);
     } else {
@@ -87,22 +87,22 @@
 
 void CrashAnnouncer::refresh() {
   const MonotonicTime now = clock_.now();
-  std::erase_if(refreshed_, [&](const RequestFingerprint& request) {
+  std::erase_if(refresh_candidates_, [&](const RequestFingerprint& request) {
     const auto report = ledger_.report(request, now);
     return !report || report->last_request_age > options_.refresh_lifetime ||
            ledger_.suspicion_level(request) != SuspicionLevel::kQuarantined;
   });
   std::set<RequestFingerprint> batch;
-  auto next = refreshed_.upper_bound(last_refreshed_);
-  while (batch.size() < std::min(options_.max_refresh_reports, refreshed_.size())) {
-    if (next == refreshed_.end()) {
-      next = refreshed_.begin();
+  auto next = refresh_candidates_.upper_bound(last_refreshed_);
+  while (batch.size() < std::min(options_.max_refresh_reports, refresh_candidates_.size())) {
+    if (next == refresh_candidates_.end()) {
+      next = refresh_candidates_.begin();
     }
     last_refreshed_ = *next;
     batch.insert(*next++);
   }
   send(batch, send_);
-  if (!refreshed_.empty()) {
+  if (!refresh_candidates_.empty()) {
     arm_refresh_timer();
   }
 }
--- a/src/quarantine/crash_announcer.h
+++ b/src/quarantine/crash_announcer.h
@@ -19,7 +19,8 @@
   Duration batch_window{std::chrono::milliseconds(3)};
   /// Delays after which a change is sent again. With 3 % of datagrams lost, two resends lose one
   /// change in 37,000. The first delay is shorter than the interval at which most callers retry,
-  /// the second longer than most bursts of packet loss.
+  /// the second longer than most bursts of packet loss. If empty, changes are neither resent nor
+  /// refreshed, as in a relay.
   std::vector<Duration> resend_delays{std::chrono::milliseconds(100),
                                       std::chrono::milliseconds(1300)};
   /// Quarantined requests that callers still send are reported periodically, for nodes that have
@@ -42,7 +43,7 @@
   /// Schedules a report on the request, whose ledger entry has changed.
   void note_change(const gateway::RequestFingerprint& request);
   /// Sends reports on all suspected and quarantined requests, for a node that has just started.
-  void send_all(const Send& send) const;
+  void send_all(const Send& send_to) const;
 
  private:
   /// A change that is to be sent again.
@@ -56,15 +57,15 @@
   void arm_resend_timer();
   void arm_refresh_timer();
   void refresh();
-  void send(const std::set<gateway::RequestFingerprint>& requests, const Send& send) const;
+  void send(const std::set<gateway::RequestFingerprint>& requests, const Send& send_to) const;
 
   const Clock& clock_;
   const CrashLedger& ledger_;
   CrashAnnouncerOptions options_;
   Send send_;
-  std::set<gateway::RequestFingerprint> due_;
+  std::set<gateway::RequestFingerprint> unsent_;
   std::map<gateway::RequestFingerprint, Resend> resends_;
-  std::set<gateway::RequestFingerprint> refreshed_;
+  std::set<gateway::RequestFingerprint> refresh_candidates_;
   gateway::RequestFingerprint last_refreshed_;  ///< The next refresh starts after this request.
   Timer batch_timer_;
   Timer resend_timer_;
--- a/src/quarantine/crash_ledger.cc
+++ b/src/quarantine/crash_ledger.cc
@@ -8,7 +8,8 @@
 
 namespace {
 
-/// Terminations kept for each request; more would not change any decision.
+/// Maximum number of terminations kept for each request, including excused ones; bounds the size of
+/// an entry and of a report. Further terminations are ignored.
 constexpr std::size_t kMaxTerminations = 16;
 
 }  // namespace
@@ -187,8 +188,8 @@
   if (!entry.has_unknown_termination()) {
     return total;
   }
-  const std::size_t counted = entry.counted_terminations() - 1;
-  return counted < total ? total - counted : 1;
+  const std::size_t observed = entry.counted_terminations() - 1;
+  return observed < total ? total - observed : 1;
 }
 
 std::optional<Duration> CrashLedger::time_to_trial(const Request& request,
@@ -289,13 +290,13 @@
   if (entries_.size() < options_.max_requests) {
     return;
   }
-  const auto weight = [](const Entry& entry) {
+  const auto eviction_rank = [](const Entry& entry) {
     return std::pair(entry.counted_terminations(),
                      std::max(entry.last_request_at, entry.last_termination_at()));
   };
   erase(
       std::min_element(entries_.begin(), entries_.end(), [&](const auto& left, const auto& right) {
-        return weight(left.second) < weight(right.second);
+        return eviction_rank(left.second) < eviction_rank(right.second);
       }));
 }
 
--- a/src/quarantine/crash_ledger.h
+++ b/src/quarantine/crash_ledger.h
@@ -1,4 +1,4 @@
-// Records during which requests back ends terminated, and derives which requests are quarantined.
+// Records which requests were running when back ends terminated, and derives which are quarantined.
 #pragma once
 
 #include <chrono>
@@ -16,8 +16,11 @@
 
 namespace ochrespring::quarantine {
 
-/// Thresholds and timing of quarantine. Trials and terminations together bound the sends after the
-/// third termination: with 3 trials there are at most 3, however much time passes.
+/// Thresholds and timing of quarantine.
+///
+/// A trial sends a quarantined request to one back end, to find out whether it still crashes back
+/// ends. Each entry of `trial_delays` allows one trial, so with 3 entries at most 3 sends follow
+/// the third termination, for as long as the request is in the ledger.
 struct CrashLedgerOptions {
   /// Number of back ends that terminate during a request before it is quarantined.
   std::size_t quarantine_threshold = 3;
@@ -28,13 +31,14 @@
                                      std::chrono::minutes(10)};
   /// Retry-After sent to callers when no trial is left.
   Duration max_retry_after{std::chrono::minutes(10)};
-  /// A quarantined request is dropped when no caller has sent it for this long.
+  /// A quarantined request is dropped this long after a caller last sent it or after its last
+  /// termination, whichever is later.
   Duration quarantine_ttl{std::chrono::minutes(30)};
   /// A request that is only suspected, or was answered, is dropped this long after its last
   /// termination.
   Duration suspicion_ttl{std::chrono::minutes(10)};
-  /// Each takes about 300 bytes. When the ledger is full, the requests with the fewest terminations
-  /// are evicted first.
+  /// Maximum number of requests in the ledger, about 300 bytes each. When the ledger is full, the
+  /// requests with the fewest counted terminations are evicted first.
   std::size_t max_requests = 2048;
 };
 
@@ -45,14 +49,17 @@
 /// How strongly a request is suspected of crashing back ends.
 enum class SuspicionLevel : std::uint8_t { kNone, kSuspected, kQuarantined };
 
+/// Records which requests were running when back ends terminated, and derives how strongly each is
+/// suspected.
+///
 /// Each termination of a back end counts against all requests that were running there, until they
 /// are answered. Which of them caused it is unknown, but an innocent request is soon answered by
 /// another back end.
 ///
-/// Terminations are also counted where another request with more terminations would explain them.
-/// Leaving those out let one of three crashing requests hide another: up to 23 sends followed the
-/// third termination instead of 1, and no innocent request was spared (10 seeds of
-/// gateway_node/tests/crashing_request_test.cc).
+/// A termination counts against a request even if another request with more terminations was
+/// running there. Otherwise one crashing request hides another: with three crashing requests, up to
+/// 23 sends instead of 1 followed the third termination, and no innocent request was kept out of
+/// quarantine by it (10 seeds of gateway_node/tests/crashing_request_test.cc).
 ///
 /// Performs no I/O. Not thread-safe.
 class CrashLedger {
@@ -69,12 +76,14 @@
   /// Returns the requests at the given level.
   std::vector<Request> requests(SuspicionLevel level) const;
 
-  /// The following three return whether the ledger has changed in a way that other nodes should
-  /// receive.
+  /// Records a termination; returns whether this is a change that other nodes should receive.
   bool note_termination(const Request& request, const ServiceName& service,
                         const BackendTermination& termination, MonotonicTime now);
+  /// Merges a report of another node or from the store; returns whether it changed the terminations
+  /// or trials.
   bool merge(const CrashReport& report, MonotonicTime now);
-  /// Excuses all terminations of the request, because it was answered.
+  /// Excuses all terminations of the request, because it was answered; returns whether this is a
+  /// change that other nodes should receive.
   bool excuse(const Request& request);
   void note_request(const Request& request, MonotonicTime now);
   void note_trial(const Request& request, std::uint32_t trials, MonotonicTime now);
@@ -96,9 +105,9 @@
   /// `additional` are back ends that may have terminated during the request but are not in the
   /// ledger yet.
   SuspicionLevel suspicion_level(const Request& request, const BackendIds& additional = {}) const;
-  /// Returns the time until the next trial, zero if one is due, or none if no trial is left. If
-  /// earlier terminations may be missing, each counted one may have followed the third: then fewer
-  /// trials are left, but at least one.
+  /// Returns the time until the next trial, zero if one is due, or none if no trial is left. If the
+  /// request has an unknown termination, each observed termination uses up one of the trials,
+  /// because it may already have followed the third; at least one trial is allowed in total.
   std::optional<Duration> time_to_trial(const Request& request, MonotonicTime now) const;
   Duration retry_after(const Request& request, MonotonicTime now) const;
   bool stored(const Request& request) const;
--- a/src/quarantine/quarantine.cc
+++ b/src/quarantine/quarantine.cc
@@ -21,11 +21,11 @@
 /// Delay between attempts to write to the store; jittered by up to the same amount, to spread the
 /// writes of different nodes.
 constexpr Duration kSaveRetryDelay = milliseconds(1000);
-/// Requests that are one termination short of quarantine are stored as well, so that a fleet that
-/// is killed as a whole does not forget them. Without this, 2 of 120 simulated fleets of 6 nodes
-/// under random faults sent a request 5 and 8 times after its third termination; with it, none sent
-/// one more than 3 times. The delay keeps most innocent requests out of the store, because other
-/// back ends answer them in the meantime.
+/// Delay before a request that is one termination short of quarantine is stored; most innocent
+/// requests are answered by another back end in the meantime. Such requests are stored so that a
+/// fleet that is killed as a whole does not forget them: without this, 2 of 120 simulated fleets of
+/// 6 nodes under random faults sent a request 5 and 8 times after its third termination; with it,
+/// none sent one more than 3 times.
 constexpr Duration kSuspectSaveDelay = milliseconds(150);
 /// Nodes that did not observe a termination wait this long for the observing nodes to write it.
 constexpr Duration kNonObserverSaveDelay = seconds(3);
@@ -76,14 +76,14 @@
 
 SendVerdict Quarantine::judge(const Request& request) {
   const MonotonicTime now = dependencies_.clock.now();
-  CrashLedger::BackendIds terminated = detector_.suspected_terminations(request);
-  if (!terminated.empty() && history_incomplete()) {
-    terminated.insert(kUnknownBackend);
+  CrashLedger::BackendIds suspected_backends = detector_.suspected_terminations(request);
+  if (!suspected_backends.empty() && history_incomplete()) {
+    suspected_backends.insert(kUnknownBackend);
   }
-  if (ledger_.suspicion_level(request, terminated) != SuspicionLevel::kQuarantined) {
+  if (ledger_.suspicion_level(request, suspected_backends) != SuspicionLevel::kQuarantined) {
     return SendVerdict::kAllowed;
   }
-  ++counts_.refusals;
+  ++counts_.quarantined_checks;
   ledger_.note_request(request, now);
   if (ledger_.contains(request) && !ledger_.stored(request)) {
     save_later(request, kNonObserverSaveDelay);
@@ -154,8 +154,8 @@
   }
 }
 
-/// The observed termination may be the third of the request although it is the first in the ledger.
-/// One unknown termination is counted in addition, until the request is answered.
+/// Counts one unknown termination in addition to the observed one, until the request is answered:
+/// the observed one may be the third although it is the first in the ledger.
 void Quarantine::note_unknown_termination(const gateway::BrokenAttempt& attempt) {
   const BackendTermination termination{.backend = kUnknownBackend, .observer = options_.node};
   ledger_.note_termination(attempt.request, attempt.service, termination,
@@ -193,8 +193,8 @@
 }
 
 /// A back end that restarted under the same name may answer before the fleet view shows its new
-/// incarnation. Excusing it at once would clear the request that had terminated the earlier
-/// incarnation; in one case, that request then reached six more back ends.
+/// incarnation. Excusing it at once would clear the request that crashed the earlier incarnation,
+/// which can then reach further back ends (six were observed).
 void Quarantine::excuse_after_view_update(const gateway::BackendId& backend,
                                           MonotonicTime started) {
   pending_excuses_.try_emplace(
@@ -341,7 +341,7 @@
     store_.add(*report, [this, request](bool stored) {
       save_failed_ = !stored;
       if (!stored) {
-        log("failed to store quarantined request", request);
+        log("failed to store request in the shared store; will retry", request);
         save_later(request, kSaveRetryDelay);
         return;
       }
@@ -361,7 +361,7 @@
     fleet_marker_found_ = value.has_value();
     return;
   }
-  if (!store_.owns(key) || !value) {
+  if (!store_.is_request_key(key) || !value) {
     return;
   }
   auto report = wire::decode<CrashReport>(*value);
@@ -372,7 +372,8 @@
                                 {{"key", key}, {"reason", report.error().message}}});
     return;
   }
-  // The time of the write is unknown, so the request is kept for at most half of its TTL.
+  // The time of the write is unknown, so the last request counts as at least half a TTL old. This
+  // has no effect on a request that is new to the ledger, which is kept for its whole TTL.
   report.value().last_request_age =
       std::max(report.value().last_request_age, options_.ledger.quarantine_ttl / 2);
   merge({{report.value()}});
@@ -438,8 +439,9 @@
   sink.counter(
       {"server_end_probes", "Connections opened to check whether a back end has terminated"},
       static_cast<double>(detector_.probes()));
-  sink.counter({"quarantine_refusals", "Sends refused because the request was quarantined"},
-               static_cast<double>(counts_.refusals));
+  sink.counter({"quarantine_refusals",
+                "Checks before a send that found the request quarantined, also if a trial was due"},
+               static_cast<double>(counts_.quarantined_checks));
   sink.counter({"quarantine_trials", "Trials of quarantined requests by this node"},
                static_cast<double>(counts_.trials));
   sink.counter({"quarantine_entered", "Requests that entered quarantine"},
--- a/src/quarantine/quarantine.h
+++ b/src/quarantine/quarantine.h
@@ -27,7 +27,7 @@
 namespace ochrespring::quarantine {
 
 struct QuarantineOptions {
-  std::string key_prefix;  ///< Of the keys in the shared store.
+  std::string key_prefix;  ///< Prefix of the keys in the shared store.
   NodeId node;
   CrashLedgerOptions ledger{};
   /// Period within which a relay batches the reports for the nodes of its zone.
@@ -58,9 +58,11 @@
   };
   struct Callbacks {
     TerminationDetector::Probe probe;
-    CrashAnnouncer::Send broadcast;          ///< To all other nodes, or to the relays of all zones.
-    CrashAnnouncer::Send broadcast_to_zone;  ///< As a relay, to the nodes of the zone.
-    std::function<void()> request_horizon;   ///< Sends a HorizonRequest to another node, if any.
+    /// Sends to all other nodes, or to the relays of all zones.
+    CrashAnnouncer::Send broadcast;
+    /// Sends to the nodes of the zone, if this node is their relay.
+    CrashAnnouncer::Send broadcast_to_zone;
+    std::function<void()> request_horizon;  ///< Sends a HorizonRequest to another node, if any.
     /// Number of nodes that are believed to be running, including this one; at least 1.
     std::function<std::uint32_t()> node_count;
   };
@@ -80,7 +82,8 @@
   void receive(const CrashReportBatch& batch);
   /// As receive(), and passes the reports on to the nodes of the zone as their relay.
   void receive_for_relay(const CrashReportBatch& batch);
-  /// Applies the current value of a key in the store, or its removal.
+  /// Applies the current value of a key in the store; none if the key was removed. The removal of a
+  /// request is ignored: the request stays in the ledger until it expires.
   void apply_store_change(const std::string& key, const std::optional<std::string>& value);
   /// Called after this node's first full listing of the store, when all of its keys have been
   /// passed to apply_store_change().
@@ -95,7 +98,7 @@
   HorizonReport horizon() const {
     return horizon_.report(suspect_count(), dependencies_.clock.now());
   }
-  /// The back end's entry was removed from the fleet view.
+  /// Called when the back end's entry was removed from the fleet view.
   void note_backend_removed(const gateway::Backend& backend) {
     pending_excuses_.erase(backend.id);
     detector_.note_backend_removed(backend);
@@ -122,7 +125,8 @@
   std::size_t suspect_count() const;
   void apply_pending_horizon();
   void write_fleet_marker();
-  /// Selects, at random, a few nodes to make a write that any node could make.
+  /// Returns whether this node makes a write that any node could make. Random, so that about
+  /// kExpectedWriters nodes of the fleet make it.
   bool is_selected_writer();
   /// Excuses the termination of a back end that answered an attempt begun at `started`: it is still
   /// running, and only the connection to it was interrupted.
@@ -152,7 +156,8 @@
   CrashAnnouncer relay_;
   QuarantineStore store_;
   std::set<Request> quarantined_;
-  std::map<Request, MonotonicTime> claimed_at_;  ///< This node's last trial claims.
+  /// When this node last claimed a trial of the request.
+  std::map<Request, MonotonicTime> claimed_at_;
   std::set<Request> unsaved_;
   bool save_failed_ = false;         ///< The last write of a request failed.
   bool fleet_marker_found_ = false;  ///< The store holds the fleet marker.
@@ -170,7 +175,7 @@
 
   struct Counts {
     std::uint64_t terminations_seen = 0;
-    std::uint64_t refusals = 0;
+    std::uint64_t quarantined_checks = 0;
     std::uint64_t trials = 0;
     std::uint64_t quarantined = 0;
     std::uint64_t released = 0;
--- a/src/quarantine/quarantine_store.cc
+++ b/src/quarantine/quarantine_store.cc
@@ -21,7 +21,7 @@
 }
 
 void QuarantineStore::write_fleet_marker(std::function<void(bool marked)> done) {
-  const std::string key(fleet_marker());
+  const std::string key(fleet_marker_key());
   store_.commit({.conditions = {{key, {}}}, .writes = {{key, "1", std::nullopt}}, .removals = {}},
                 [done = std::move(done)](const auto& result) {
                   done(result || result.error().code == StoreErrc::kConflict);
--- a/src/quarantine/quarantine_store.h
+++ b/src/quarantine/quarantine_store.h
@@ -14,18 +14,18 @@
 
 /// Stores quarantined requests, one key for each.
 ///
-/// The store preserves them when all nodes stop, and is where the fleet agrees which node may try a
-/// request again. A marker key records that the fleet has run before, which a node that starts
+/// The store preserves them when all nodes stop, and arbitrates which node may make the next trial
+/// of a request. A marker key records that the fleet has run before, which a node that starts
 /// alone cannot know. Stateless; used on one event loop.
 class QuarantineStore {
  public:
   QuarantineStore(shared_store::SharedStore& store, std::string key_prefix)
       : store_(store), key_prefix_(std::move(key_prefix)) {}
 
-  /// Returns whether `key` is the key of a quarantined request.
-  bool owns(std::string_view key) const { return key.starts_with(key_prefix_); }
+  /// Returns whether `key` is the key of a stored request.
+  bool is_request_key(std::string_view key) const { return key.starts_with(key_prefix_); }
   /// Returns whether `key` is the marker that the fleet has run before.
-  bool is_fleet_marker(std::string_view key) const { return key == fleet_marker(); }
+  bool is_fleet_marker(std::string_view key) const { return key == fleet_marker_key(); }
   /// Writes the marker unless it exists; `marked` is whether it exists now.
   void write_fleet_marker(std::function<void(bool marked)> done);
   /// Writes a request unless the store holds it; `stored` is whether the store holds it now.
@@ -48,8 +48,9 @@
     return key_prefix_ + request.to_hex();
   }
 
-  /// The key prefix without its final part: outside of the range of the requests' keys.
-  std::string_view fleet_marker() const {
+  /// Returns the key of the fleet marker: the key prefix up to its first slash, which is outside of
+  /// the range of the requests' keys.
+  std::string_view fleet_marker_key() const {
     return std::string_view(key_prefix_).substr(0, key_prefix_.find('/'));
   }
 
--- a/src/quarantine/termination_detector.cc
+++ b/src/quarantine/termination_detector.cc
@@ -14,13 +14,15 @@
 /// Delay from a broken connection to the probe: a terminating process closes its connections and
 /// its listener one after the other.
 constexpr Duration kProbeDelay = milliseconds(30);
-/// Time for which an unanswered probe waits for the fleet view: three heartbeats and a poll.
+/// Time for which an unanswered probe waits for the fleet view. Longer than it takes until the
+/// entry of a terminated back end is removed: three missed heartbeats (1.2 s each as deployed) and
+/// the next poll of the store (up to 1.5 s later if none fails).
 constexpr Duration kInvestigationTimeout = seconds(10);
 /// For this long after an accepted probe, attempts that failed without a closed connection do not
 /// cause another one: under load many requests reach their deadlines.
 constexpr Duration kProbeSuppression = seconds(1);
-/// Attempts kept for each investigation.
-constexpr std::size_t kMaxAttempts = 512;
+/// Bounds the memory of an investigation; further attempts are not reported.
+constexpr std::size_t kMaxAttemptsPerInvestigation = 512;
 
 }  // namespace
 
@@ -36,7 +38,8 @@
 void TerminationDetector::note_failed_attempt(const gateway::BrokenAttempt& attempt) {
   const auto known = terminated_at_.find(attempt.backend);
   if (known != terminated_at_.end()) {
-    // An attempt that started after the termination failed on an older connection; not counted.
+    // An attempt that started after the termination was found cannot have caused it; it failed on a
+    // pooled connection from before.
     if (attempt.started < known->second) {
       on_terminated_(attempt.backend, {attempt});
     }
@@ -57,7 +60,7 @@
     investigation->address = backend->address;
     investigation->timer.arm(kProbeDelay, [this, id = attempt.backend] { probe(id); });
   }
-  if (investigation->attempts.size() < kMaxAttempts) {
+  if (investigation->attempts.size() < kMaxAttemptsPerInvestigation) {
     investigation->attempts.push_back(attempt);
   }
 }
--- a/src/quarantine/termination_detector.h
+++ b/src/quarantine/termination_detector.h
@@ -18,12 +18,12 @@
 
 /// Decides whether a back end has terminated when a connection to it breaks.
 ///
-/// All requests that this node had at the back end become suspects. A probe connection opened
-/// shortly afterwards decides: if it is refused, the back end has terminated; if it is accepted,
-/// the back end is running, and the connection was reset, lost in the network or timed out after
-/// this node was suspended. If the probe is not answered, the fleet view decides: the entry of a
-/// terminated back end is removed after a few missed heartbeats. A back end that has announced that
-/// it is leaving terminates as planned and is not reported.
+/// Requests whose connections the back end closed are suspected during the investigation. A probe
+/// connection opened shortly afterwards decides: if it is refused, the back end has terminated; if
+/// it is accepted, the back end is running, and the connection was reset, lost in the network or
+/// timed out after this node was suspended. If the probe is not answered, the fleet view decides:
+/// the entry of a terminated back end is removed after a few missed heartbeats. A back end that has
+/// announced that it is leaving terminates as planned and is not reported.
 ///
 /// Not thread-safe; used on one event loop.
 class TerminationDetector {
@@ -38,8 +38,12 @@
   TerminationDetector(const Clock& clock, TimerService& timers, const gateway::FleetState& fleet,
                       Probe probe, OnTerminated on_terminated);
 
+  /// Starts or joins the investigation of the attempt's back end, unless it is unknown or leaving.
+  /// An attempt whose connection was not closed is ignored if the back end has just accepted a
+  /// probe. If the back end is already known to have terminated, the attempt is reported at once if
+  /// it started before that was found, and ignored otherwise.
   void note_failed_attempt(const gateway::BrokenAttempt& attempt);
-  /// The back end's entry was removed from the fleet view.
+  /// Called when the back end's entry was removed from the fleet view.
   void note_backend_removed(const gateway::Backend& backend);
   /// Returns the back ends that may have terminated during the request: they closed its connections
   /// and are still under investigation.
@@ -70,6 +74,8 @@
   Probe probe_;
   OnTerminated on_terminated_;
   std::map<gateway::BackendId, std::unique_ptr<Investigation>> investigations_;
+  /// When back ends were found to have terminated. Entries may be dropped after
+  /// kInvestigationTimeout.
   std::map<gateway::BackendId, MonotonicTime> terminated_at_;
   std::map<gateway::BackendId, MonotonicTime> accepted_at_;  ///< Last accepted probes.
   std::uint64_t probes_ = 0;
--- a/src/quarantine/tests/crash_announcer_test.cc
+++ b/src/quarantine/tests/crash_announcer_test.cc
@@ -1,4 +1,4 @@
-// Tests when reports are sent, resent and refreshed.
+// Tests when reports are sent and resent.
 #include "quarantine/crash_announcer.h"
 
 #include <doctest/doctest.h>
--- a/src/quarantine/tests/quarantine_store_test.cc
+++ b/src/quarantine/tests/quarantine_store_test.cc
@@ -1,4 +1,4 @@
-// Tests the agreement of nodes through the shared store.
+// Tests storing quarantined requests and claiming trials, also by several nodes at a time.
 #include "quarantine/quarantine_store.h"
 
 #include <doctest/doctest.h>
@@ -90,7 +90,7 @@
   fixture.advance();
   CHECK(stored == 3);
   CHECK(fixture.state.items.size() == 1);
-  CHECK(fixture.quarantined.owns(fixture.state.items.begin()->first));
+  CHECK(fixture.quarantined.is_request_key(fixture.state.items.begin()->first));
   fixture.quarantined.remove({});
   fixture.advance();
   CHECK(fixture.state.items.empty());
@@ -107,7 +107,7 @@
   REQUIRE(fixture.state.items.size() == 1);
   CHECK(fixture.state.revision == 1);
   CHECK(fixture.quarantined.is_fleet_marker(fixture.state.items.begin()->first));
-  CHECK_FALSE(fixture.quarantined.owns(fixture.state.items.begin()->first));
+  CHECK_FALSE(fixture.quarantined.is_request_key(fixture.state.items.begin()->first));
   fixture.state.down = true;
   fixture.quarantined.write_fleet_marker([](bool success) { CHECK_FALSE(success); });
   fixture.advance();
--- a/src/quarantine/types.h
+++ b/src/quarantine/types.h
@@ -19,8 +19,8 @@
   /// Time since the termination when the report was made. An age rather than a timestamp, because
   /// the clocks of different machines are not compared.
   Duration age{};
-  /// No longer counts against the request: the request was answered since, or the back end turned
-  /// out to be running.
+  /// Whether the termination no longer counts against the request, because the request was answered
+  /// since or the back end turned out to be running.
   bool excused = false;
 
   template <class Archive>
@@ -34,15 +34,16 @@
 
 /// Everything that one node knows about one request. Merging reports is commutative and
 /// idempotent: nodes that have received the same reports, in any order and any number of times,
-/// hold the same state.
+/// agree on the request's terminations (as far as a ledger keeps them) and suspicion level.
 struct CrashReport {
   gateway::RequestFingerprint request;
   ServiceName service;
   std::vector<BackendTermination> terminations;  ///< At most one for each back end.
-  std::uint32_t trials = 0;                      ///< Sends allowed while quarantined.
-  Duration trial_age{};                          ///< Time since the last trial.
-  Duration last_request_age{};                   ///< Time since any node last received the request.
-  bool stored = false;                           ///< Whether the shared store holds the request.
+  /// Number of trials granted so far: sends to a back end while the request is quarantined.
+  std::uint32_t trials = 0;
+  Duration trial_age{};         ///< Time since the last trial.
+  Duration last_request_age{};  ///< Time since any node last received the request.
+  bool stored = false;          ///< Whether the shared store holds the request.
 
   template <class Archive>
   void serialize(Archive& archive, unsigned /*version*/) {
@@ -66,11 +67,11 @@
   }
 };
 
-/// Asks a node for all of its crash reports, if its history reaches farther back than that of the
-/// requesting node.
+/// Asks a node for all of its crash reports, if its ledger is complete for a longer time than that
+/// of the requesting node.
 struct HorizonRequest {
   Endpoint reply_to;
-  Duration age{};  ///< Age of the requesting node's horizon.
+  Duration age{};  ///< How far back the requesting node's ledger is complete.
 
   template <class Archive>
   void serialize(Archive& archive, unsigned /*version*/) {
@@ -81,7 +82,8 @@
 
 /// How far back a node's ledger is complete. Sent after the crash reports themselves.
 struct HorizonReport {
-  Duration age{};              ///< The ledger has all terminations of this period.
+  /// The ledger has all terminations of this time before the report was made.
+  Duration age{};
   std::uint32_t requests = 0;  ///< Number of suspected and quarantined requests in the ledger.
 
   template <class Archive>
