--- a/src/peer_load/tests/peer_load_test.cc
+++ b/src/peer_load/tests/peer_load_test.cc
@@ -1,4 +1,5 @@
-// Tests the exchange of work reports between nodes, with datagrams lost, delayed and duplicated.
+// Tests what nodes and relays report about work at engines, and how reports that arrive late or out
+// of order are applied.
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
