--- a/src/admission_queue/tests/queued_request_test.cc
+++ b/src/admission_queue/tests/queued_request_test.cc
@@ -28,7 +28,7 @@
 
   Environment environment_with_queue() {
     Environment made = environment();
-    made.replicates_resumable = true;
+    made.replicate_retryable_streams = true;
     made.queue = &queue;
     return made;
   }
@@ -59,7 +59,7 @@
   const auto caller = world.ask("/once/queued");
   CHECK(world.sends() == kRoom);
   CHECK(world.queueing.held().queued == 1);
-  CHECK(world.queueing.held().at_back_ends == kRoom);
+  CHECK(world.queueing.held().awaiting_backend == kRoom);
   world.advance(60ms);
   CHECK(world.sends() == kRoom);
   world.end_one(0);
@@ -323,7 +323,7 @@
     std::vector<bool> completions;
   } recording;
   Environment made = environment();
-  made.replicates_resumable = true;
+  made.replicate_retryable_streams = true;
   made.queue = &recording;
   Gateway recorded{made, [](auto done) { done(true); }};
   const auto caller = begin_stream(recorded);
--- a/src/gateway/attempt.h
+++ b/src/gateway/attempt.h
@@ -27,21 +27,23 @@
 struct Attempt {
   BackendId backend;
   MonotonicTime started{};
-  std::uint64_t unread_tokens = 0;
+  std::uint64_t prefill_tokens = 0;         ///< Prompt tokens to prefill, without cached ones.
   std::uint64_t tokens_ahead = 0;           ///< Of other prompts, when it started.
   std::optional<Endpoint> cache_source;     ///< Engine to fetch shared prompt parts from.
   std::optional<Endpoint> cache_backup;     ///< Engine to replicate the run to.
   std::optional<RunReference> resumed_run;  ///< Run of another engine that this attempt resumes.
-  bool prefill_done = false;
+  /// The prefill no longer counts in the load table: the first event has arrived or the attempt has
+  /// ended.
+  bool prefill_ended = false;
   std::unique_ptr<http::Exchange> exchange;
   std::optional<http::ResponseHead> head;
   BackendStatement statement;  ///< Read from the head; empty before the head has arrived.
   std::string body;            ///< Body of an answer that is sent to the caller when complete.
   EventSplitter events;
-  std::unique_ptr<StreamObservation> observed;  ///< Set once the first event has arrived.
-  bool streams = false;                         ///< Events are forwarded as they arrive.
-  bool prefill = false;                         ///< A prefill call, which cannot run the request.
-  bool uses_cache = false;                      ///< Uses the cache handle of a prefill engine.
+  std::unique_ptr<StreamObservation> observation;  ///< Set once the first event has arrived.
+  bool forwards_events = false;                    ///< Events are forwarded as they arrive.
+  bool is_prefill_call = false;  ///< Asks for a prefill only, so it cannot run the request.
+  bool uses_cache = false;       ///< Uses the cache handle of a prefill engine.
 };
 
 /// Whether an attempt with this verdict certainly did not prefill the prompt.
--- a/src/gateway/attempt_starter.cc
+++ b/src/gateway/attempt_starter.cc
@@ -12,11 +12,11 @@
   Attempt attempt;
   attempt.backend = id;
   attempt.started = now;
-  attempt.prefill = kind == SendKind::kPrefill;
+  attempt.is_prefill_call = kind == SendKind::kPrefill;
   assign_caches(attempt, choice, kind, input);
   attempt.tokens_ahead =
       environment_.loads.own(id).unread_tokens + environment_.loads.others(id, now).unread_tokens;
-  environment_.loads.begin(id, attempt.unread_tokens);
+  environment_.loads.begin(id, attempt.prefill_tokens);
   if (input.prompt != nullptr && !attempt.resumed_run) {
     environment_.loads.note_prompt(id, *input.prompt, now);
   }
@@ -28,13 +28,13 @@
                                    const AttemptInput& input) {
   GatewayStatistics& counts = environment_.statistics;
   if (kind == SendKind::kResume) {
-    attempt.resumed_run = backup_.source();
+    attempt.resumed_run = backup_.run_reference();
     backup_.mark_used();
-    ++counts.streams_continued;
+    ++counts.resume_attempts;
     return;
   }
   attempt.uses_cache = kind == SendKind::kRun && cache_.held();
-  attempt.unread_tokens = attempt.uses_cache ? 0 : choice.unread_tokens;
+  attempt.prefill_tokens = attempt.uses_cache ? 0 : choice.unread_tokens;
   if (!attempt.uses_cache && choice.cache_source != nullptr) {
     attempt.cache_source = choice.cache_source->address;
     ++counts.cache_fetches;
@@ -48,26 +48,26 @@
 
 void AttemptStarter::send(Attempt& attempt, const Backend& backend, const AttemptInput& input,
                           http::ResponseObserver& observer) const {
-  http::ClientRequest sent =
+  http::ClientRequest outgoing =
       make_backend_request(input.request, environment_.names, make_call(attempt, backend, input));
   if (SendGate* gate = environment_.gate) {
     gate->note_send(backend.id, attempt.started);
-    sent.may_leave = [gate, &clock = environment_.clock, id = backend.id] {
+    outgoing.may_leave = [gate, &clock = environment_.clock, id = backend.id] {
       return gate->may_send(id, clock.now());
     };
   }
-  attempt.exchange = environment_.transport.start(std::move(sent), observer);
+  attempt.exchange = environment_.transport.start(std::move(outgoing), observer);
 }
 
 BackendCall AttemptStarter::make_call(const Attempt& attempt, const Backend& backend,
                                       const AttemptInput& input) const {
   BackendCall call;
   call.backend = &backend;
-  call.left = input.left;
+  call.time_left = input.time_left;
   call.tenant = input.tenant;
-  call.prefill = attempt.prefill;
+  call.prefill = attempt.is_prefill_call;
   if (input.prompt != nullptr) {
-    call.priority = engine_priority(input.priority, attempt.unread_tokens);
+    call.priority = engine_priority(input.priority, attempt.prefill_tokens);
   }
   if (attempt.uses_cache) {
     call.cache = cache_.handle();
@@ -76,7 +76,8 @@
   call.cache_backup = attempt.cache_backup;
   call.resumed_run = attempt.resumed_run;
   if (call.resumed_run) {
-    // With this header the engine reads the cache source as a run, not as a cache handle.
+    // The Last-Event-Id header tells the engine that the cache source names a run, not a cache
+    // handle, so a resume always sends it.
     call.resume_after_event = input.last_event.value_or(0);
   } else if (input.head_sent) {
     call.resume_after_event = input.last_event;
--- a/src/gateway/attempt_starter.h
+++ b/src/gateway/attempt_starter.h
@@ -24,7 +24,7 @@
   const Prompt* prompt = nullptr;    ///< Null for a request that is not for an engine.
   const std::set<BackendId>& tried;  ///< Back ends the request was sent to.
   std::uint32_t priority = 0;
-  Duration left{};                          ///< Until the deadline.
+  Duration time_left{};                     ///< Until the deadline.
   std::optional<std::uint64_t> last_event;  ///< Id of the last event that the caller has.
   bool head_sent = false;                   ///< The caller has received the response head.
   bool trial = false;                       ///< Quarantined, but granted one send.
--- a/src/gateway/backend_request.cc
+++ b/src/gateway/backend_request.cc
@@ -17,8 +17,8 @@
 /// A back end in the same network that takes longer to accept a connection is treated as
 /// unreachable.
 constexpr Duration kConnectTimeout = milliseconds(400);
-/// Engines have ten priorities: each of the three route ranks is divided by prompt size in tokens
-/// at these bounds.
+/// Engines accept priorities 0 to 9. Each of the three route priorities is split by the tokens to
+/// prefill at these bounds, which uses 0 to 8.
 constexpr std::uint32_t kRouteRankCount = 3;
 constexpr std::array<std::uint64_t, 2> kPromptSizeBounds{3'000, 10'000};
 
@@ -34,58 +34,58 @@
 
 }  // namespace
 
-std::uint32_t engine_priority(std::uint32_t route_priority, std::uint64_t unread_tokens) {
+std::uint32_t engine_priority(std::uint32_t priority, std::uint64_t prefill_tokens) {
   std::uint32_t size = 0;
   for (const std::uint64_t bound : kPromptSizeBounds) {
-    size += unread_tokens > bound ? 1 : 0;
+    size += prefill_tokens > bound ? 1 : 0;
   }
-  const std::uint32_t rank = std::min(route_priority, kRouteRankCount - 1);
+  const std::uint32_t rank = std::min(priority, kRouteRankCount - 1);
   return rank * static_cast<std::uint32_t>(kPromptSizeBounds.size() + 1) + size;
 }
 
 http::ClientRequest make_backend_request(const http::Request& request, const HeaderNames& names,
                                          const BackendCall& call) {
-  http::ClientRequest sent;
-  sent.endpoint = call.backend->address;
-  sent.method = request.method;
-  sent.path = request.query.empty() ? request.path : request.path + "?" + request.query;
-  sent.headers = headers_for_backend(request.headers, names);
-  const auto left = std::chrono::duration_cast<milliseconds>(call.left).count();
-  set_header(sent.headers, names.deadline, std::to_string(left));
-  set_header(sent.headers, names.expected_instance, std::string(name_of(call.backend->id)));
+  http::ClientRequest outgoing;
+  outgoing.endpoint = call.backend->address;
+  outgoing.method = request.method;
+  outgoing.path = request.query.empty() ? request.path : request.path + "?" + request.query;
+  outgoing.headers = headers_for_backend(request.headers, names);
+  const auto left = std::chrono::duration_cast<milliseconds>(call.time_left).count();
+  set_header(outgoing.headers, names.deadline, std::to_string(left));
+  set_header(outgoing.headers, names.expected_instance, std::string(name_of(call.backend->id)));
   if (call.tenant != nullptr) {
-    set_header(sent.headers, names.tenant, call.tenant->name.value());
+    set_header(outgoing.headers, names.tenant, call.tenant->name.value());
   }
   if (call.priority) {
-    set_header(sent.headers, names.priority, std::to_string(*call.priority));
+    set_header(outgoing.headers, names.priority, std::to_string(*call.priority));
   }
   if (call.prefill) {
-    set_header(sent.headers, names.phase, names.phase_prefill);
+    set_header(outgoing.headers, names.phase, names.phase_prefill);
   }
   if (call.resumed_run) {
-    set_header(sent.headers, names.cache_source,
+    set_header(outgoing.headers, names.cache_source,
                call.resumed_run->runner.value() + "/" + call.resumed_run->request_id);
   } else if (call.cache) {
-    set_header(sent.headers, names.cache_source,
+    set_header(outgoing.headers, names.cache_source,
                call.cache->address.value() + "/" + call.cache->handle);
   }
   if (call.cache_source) {
-    set_header(sent.headers, names.cache_fetch, call.cache_source->value());
+    set_header(outgoing.headers, names.cache_fetch, call.cache_source->value());
   }
   if (call.cache_backup) {
-    set_header(sent.headers, names.cache_backup, call.cache_backup->value());
+    set_header(outgoing.headers, names.cache_backup, call.cache_backup->value());
   }
   if (call.resume_after_event) {
-    set_header(sent.headers, names.last_event, std::to_string(*call.resume_after_event));
+    set_header(outgoing.headers, names.last_event, std::to_string(*call.resume_after_event));
   }
-  sent.body = request.body;
-  sent.timeout = call.left;
-  sent.connect_timeout = std::min(kConnectTimeout, call.left);
-  sent.most_idle = call.max_idle_connections;
-  sent.close_ends_answer = true;
-  sent.echo = http::Header{names.request_id,
-                           std::string(http::find_header(request.headers, names.request_id))};
-  return sent;
+  outgoing.body = request.body;
+  outgoing.timeout = call.time_left;
+  outgoing.connect_timeout = std::min(kConnectTimeout, call.time_left);
+  outgoing.most_idle = call.max_idle_connections;
+  outgoing.close_ends_answer = true;
+  outgoing.echo = http::Header{names.request_id,
+                               std::string(http::find_header(request.headers, names.request_id))};
+  return outgoing;
 }
 
 }  // namespace ochrespring::gateway
--- a/src/gateway/backend_request.h
+++ b/src/gateway/backend_request.h
@@ -28,7 +28,7 @@
 /// What one attempt adds to the caller's request.
 struct BackendCall {
   const Backend* backend = nullptr;
-  Duration left{};                        ///< Time until the request's deadline.
+  Duration time_left{};                   ///< Time until the request's deadline.
   bool prefill = false;                   ///< Prefill only.
   const Tenant* tenant = nullptr;         ///< Null for a request without a tenant.
   std::optional<std::uint32_t> priority;  ///< 0 to 9, for engines.
@@ -46,9 +46,9 @@
 http::ClientRequest make_backend_request(const http::Request& request, const HeaderNames& names,
                                          const BackendCall& call);
 
-/// Priority by which engines order requests: first the route's rank, then the number of tokens to
-/// prefill. Short prompts go first within a rank, since a long one delays many requests and a short
-/// one few.
-std::uint32_t engine_priority(std::uint32_t route_priority, std::uint64_t unread_tokens);
+/// Priority for engines, 0 is the most urgent: ordered by `priority`, that of the tenant or route,
+/// then by the number of tokens to prefill. Short prompts go first within a priority, since a long
+/// one delays many requests and a short one few.
+std::uint32_t engine_priority(std::uint32_t priority, std::uint64_t prefill_tokens);
 
 }  // namespace ochrespring::gateway
--- a/src/gateway/claimed_send.h
+++ b/src/gateway/claimed_send.h
@@ -1,4 +1,4 @@
-// A placement choice that waits for its claim.
+// A placement choice whose rate-limit claim is pending.
 #pragma once
 
 #include <cstdint>
@@ -9,16 +9,17 @@
 
 namespace ochrespring::gateway {
 
-/// Refers to back ends by id, since they may be removed while the claim is pending.
+/// A placement choice whose claim is pending. Refers to back ends by id, since they may be removed
+/// while the claim is pending.
 struct ClaimedSend {
   BackendId backend;
-  std::uint64_t unread_tokens = 0;
+  std::uint64_t prefill_tokens = 0;
   BackendId cache_source;  ///< Empty if there is none.
   SendKind kind = SendKind::kRun;
 
   static ClaimedSend of(const PlacementChoice& choice, SendKind kind) {
     return {.backend = choice.backend->id,
-            .unread_tokens = choice.unread_tokens,
+            .prefill_tokens = choice.unread_tokens,
             .cache_source = choice.cache_source != nullptr ? choice.cache_source->id : BackendId(),
             .kind = kind};
   }
--- a/src/gateway/environment.h
+++ b/src/gateway/environment.h
@@ -37,7 +37,7 @@
   RetryBudget& budget;
   SharePicker& shares;
   const HeaderNames& names;
-  const EngineCalls& engines;
+  const EngineCalls& engine_calls;
   GatewayStatistics& statistics;
   logging::Logger& logger;
   /// Number of nodes believed to be running, including this one; at least 1.
@@ -46,12 +46,12 @@
   /// empty.
   std::function<void(const TenantName& tenant, Duration ago)> note_run{};
   RequestGuard* guard = nullptr;             ///< Null: no quarantine.
-  SendGate* gate = nullptr;                  ///< Null: rate limits and backoff are not observed.
+  SendGate* gate = nullptr;                  ///< Null: rate limits and backoff are not enforced.
   RequestQueue* queue = nullptr;             ///< Null: requests do not queue for full back ends.
   EngineObserver* observer = nullptr;        ///< Null: engine speeds are not measured.
   const EngineProfiles* profiles = nullptr;  ///< Null: engine speeds are unknown.
-  /// Whether streams that their routes allow to be retried are replicated, too.
-  bool replicates_resumable = false;
+  /// Whether retryable streams are replicated as well.
+  bool replicate_retryable_streams = false;
   /// When the process stops, even if requests are still running; none if no stop is scheduled.
   std::optional<MonotonicTime> shutdown_time{};
 };
--- a/src/gateway/event_splitter.h
+++ b/src/gateway/event_splitter.h
@@ -15,7 +15,7 @@
   std::optional<std::uint64_t> id;  ///< None without an `id` or with one that is not a number.
 };
 
-/// Has no side effects; one per attempt.
+/// Buffers the bytes of one attempt's stream until an event is complete.
 class EventSplitter {
  public:
   void append(std::string_view bytes) { pending_.append(bytes); }
--- a/src/gateway/failure_answer.cc
+++ b/src/gateway/failure_answer.cc
@@ -7,7 +7,8 @@
 
 namespace {
 
-/// An earlier retry would find the same state.
+/// Lower bound of Retry-After, so that callers do not retry in a busy loop. An earlier retry at the
+/// same node would find the same state.
 constexpr Duration kMinRetryAfter = std::chrono::milliseconds(20);
 
 std::uint16_t status_of(FailureReason reason, bool may_have_run) {
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-Gateway::Gateway(Environment environment, Refresh refresh)
+Gateway::Gateway(Environment environment, RefreshFunction refresh)
     : environment_(std::move(environment)), refresh_(std::move(refresh)) {}
 
 void Gateway::handle(http::Request request, std::shared_ptr<http::ResponseWriter> writer) {
@@ -41,16 +41,16 @@
   await_configuration(std::move(request), std::move(writer));
 }
 
-/// Only the newest configuration proves that a route or key does not exist. All such requests
-/// together cause one poll of the shared store per three quarters of the time within which a
-/// configuration must be applied.
+/// Only the newest configuration proves that a route or key does not exist. `refresh_` polls the
+/// shared store at most once per three quarters of the time within which a configuration must be
+/// applied, however many requests wait.
 void Gateway::await_configuration(http::Request request,
                                   std::shared_ptr<http::ResponseWriter> writer) {
   const std::uint64_t number = next_waiting_++;
   writer->on_closed([this, number] {
     ++environment_.statistics.caller_gone;
     waiting_.erase(number);
-    note_ended();
+    notify_if_idle();
   });
   waiting_.emplace(number, WaitingRequest{std::move(request), std::move(writer)});
   refresh_([this, number](bool current) { on_refreshed(number, current); });
@@ -71,10 +71,10 @@
   const bool known = current && environment_.fleet.routes() != nullptr;
   refuse(waited.request, *waited.writer,
          known ? admission.refusal() : FailureReason::kNoConfiguration);
-  note_ended();
+  notify_if_idle();
 }
 
-void Gateway::note_ended() {
+void Gateway::notify_if_idle() {
   if (running() == 0 && idle_) {
     idle_();
   }
@@ -106,7 +106,7 @@
   sessions_.insert(session);
   session->begin([this, raw = session.get()] {
     sessions_.erase(raw->shared_from_this());
-    note_ended();
+    notify_if_idle();
   });
 }
 
--- a/src/gateway/gateway.h
+++ b/src/gateway/gateway.h
@@ -15,24 +15,25 @@
 namespace ochrespring::gateway {
 
 /// Refreshes the fleet state, then reports whether it is up to date.
-using Refresh = std::function<void(std::function<void(bool current)> done)>;
+using RefreshFunction = std::function<void(std::function<void(bool current)> done)>;
 
 /// Number of requests that a gateway holds, by what they wait for.
 struct HeldRequests {
-  std::size_t at_configuration = 0;  ///< Wait for a newer configuration.
-  std::size_t at_back_ends = 0;      ///< Wait for a back end's answer or for permission to send.
+  std::size_t awaiting_configuration = 0;  ///< Wait for a newer configuration.
+  std::size_t awaiting_backend = 0;        ///< Wait for a back end's answer or for a claim.
 
   std::size_t queued = 0;  ///< Wait for a back end with room.
 
-  std::size_t total() const { return at_configuration + at_back_ends + queued; }
+  std::size_t total() const { return awaiting_configuration + awaiting_backend + queued; }
 };
 
 /// Used on one event loop. Destroy it only after the loop has stopped: sessions and callbacks refer
 /// to it.
 class Gateway {
  public:
-  Gateway(Environment environment, Refresh refresh);
+  Gateway(Environment environment, RefreshFunction refresh);
 
+  /// Answers the request through `writer`, possibly after a refresh of the configuration.
   void handle(http::Request request, std::shared_ptr<http::ResponseWriter> writer);
   /// Requests passed to handle() that have no final answer yet.
   HeldRequests held() const;
@@ -43,8 +44,8 @@
   void on_backend_unregistered(const BackendId& backend);
   /// Announces that the process stops at `end`. New requests that may last longer, or that would
   /// wait for a newer configuration, are refused immediately, so that their callers use another
-  /// node. Without this, a request was cut off 1.2 s into its answer, because its caller had kept
-  /// using the node for the 6 s in which it could have left.
+  /// node. Otherwise callers keep using this node until it stops: with 6 s of notice, an answer was
+  /// still cut off after 1.2 s.
   void set_shutdown_time(MonotonicTime end) { environment_.shutdown_time = end; }
   /// Called when the process stops. Gives each held request a final answer that says whether it may
   /// have run, which a closed connection would not tell the caller.
@@ -60,7 +61,7 @@
 
   void await_configuration(http::Request request, std::shared_ptr<http::ResponseWriter> writer);
   void on_refreshed(std::uint64_t number, bool current);
-  void note_ended();
+  void notify_if_idle();
   std::vector<std::shared_ptr<RequestSession>> running_sessions() const;
   Admission look_up(const http::Request& request) const;
   void start(const Admission& admission, http::Request request,
@@ -68,7 +69,7 @@
   void refuse(const http::Request& request, http::ResponseWriter& writer, FailureReason reason);
 
   Environment environment_;
-  Refresh refresh_;
+  RefreshFunction refresh_;
   /// Requests that wait for a refresh. Kept here so that finish_all() can answer them.
   std::map<std::uint64_t, WaitingRequest> waiting_;
   std::uint64_t next_waiting_ = 0;
--- a/src/gateway/prompt_cache.cc
+++ b/src/gateway/prompt_cache.cc
@@ -30,7 +30,7 @@
     handle_.reset();
     return;
   }
-  http::ClientRequest request = environment_.engines.release_cache(handle_->handle);
+  http::ClientRequest request = environment_.engine_calls.release_cache(handle_->handle);
   request.endpoint = handle_->address;
   request.timeout = kReleaseTimeout;
   handle_.reset();
--- a/src/gateway/request_dispatch.cc
+++ b/src/gateway/request_dispatch.cc
@@ -7,7 +7,7 @@
 void RequestDispatch::begin() {
   if (owner_.time_left() < kMinAttemptTime) {
     owner_.end_with_failure(FailureReason::kTimeout);
-  } else if (passes_guard()) {
+  } else if (check_guard()) {
     send_or_queue();
   }
 }
@@ -17,7 +17,7 @@
   place_.reset();
 }
 
-bool RequestDispatch::passes_guard() {
+bool RequestDispatch::check_guard() {
   RequestGuard* guard = environment_.guard;
   if (guard == nullptr || !guard->is_active() || trial_) {
     return true;
@@ -64,8 +64,8 @@
   }
 }
 
-/// Joins the queue behind waiting requests. If a back end has room, the queue learns of it: it
-/// sends the waiting requests first and rejects none.
+/// Joins the queue behind waiting requests. If a back end has room, `room_seen` is set, so that the
+/// queue dispatches immediately, the waiting requests first, instead of rejecting.
 void RequestDispatch::join_behind_others(QueueRequest request) {
   const MonotonicTime now = environment_.clock.now();
   const PlacementRequest wanted = owner_.placement_request();
@@ -105,7 +105,7 @@
     return DispatchResult::kLeftQueue;
   }
   const bool waits =
-      passes_guard() && choose_and_send(Requirement::kRoomWhileQueued) == Outcome::kNoRoom;
+      check_guard() && choose_and_send(Requirement::kRoomWhileQueued) == Outcome::kNoRoom;
   return waits ? DispatchResult::kNoRoom : DispatchResult::kLeftQueue;
 }
 
@@ -182,8 +182,8 @@
   return room && no_backend_accepts(true) ? room->wait : fallback;
 }
 
-/// Starts the attempt as soon as the back end's rate limit allows it. Returns false if the limit
-/// denies it now.
+/// Starts the attempt as soon as the back end's rate limit allows it. Returns false if the claim is
+/// denied.
 bool RequestDispatch::claim_and_start(const PlacementChoice& choice, SendKind kind) {
   ClaimResult result = ClaimResult::kGranted;
   if (environment_.gate != nullptr) {
@@ -221,14 +221,14 @@
   }
   const bool open = environment_.gate->may_send(claimed.backend, environment_.clock.now());
   if (!granted || backend == nullptr || !open || fleet.is_leaving(*backend)) {
-    owner_.dispatch_unsent(claimed.kind);
+    owner_.on_not_sent(claimed.kind);
     return;
   }
   if (owner_.time_left() < kMinAttemptTime) {
     owner_.end_with_failure(FailureReason::kTimeout);
-  } else if (passes_guard()) {
+  } else if (check_guard()) {
     owner_.start_attempt({.backend = backend,
-                          .unread_tokens = claimed.unread_tokens,
+                          .unread_tokens = claimed.prefill_tokens,
                           .cache_source = fleet.find(claimed.cache_source)},
                          claimed.kind);
   }
--- a/src/gateway/request_dispatch.h
+++ b/src/gateway/request_dispatch.h
@@ -15,7 +15,7 @@
 
 namespace ochrespring::gateway {
 
-/// The request that a dispatch sends.
+/// Interface of the request session that a RequestDispatch works for.
 class DispatchOwner {
  public:
   virtual ~DispatchOwner() = default;
@@ -23,7 +23,8 @@
   virtual std::shared_ptr<void> keep_alive() = 0;
   virtual const ServiceName& service() const = 0;
   virtual PlacementRequest placement_request() const = 0;
-  /// The request as the queue sees it, without `room_seen` and `returned`.
+  /// Describes the request for the queue. `room_seen` and `returned` are left false; the dispatch
+  /// and the queue set them.
   virtual QueueRequest queue_request() const = 0;
   virtual const RequestFingerprint& fingerprint() = 0;
   virtual Duration time_left() const = 0;
@@ -34,12 +35,15 @@
   virtual bool may_claim_trial() const = 0;
   virtual SendRank send_rank() const = 0;
   virtual void start_attempt(const PlacementChoice& choice, SendKind kind) = 0;
-  /// Called for a send of which no byte left. Chooses a back end again, unless it was a resume.
-  virtual void dispatch_unsent(SendKind kind) = 0;
+  /// Called when a send did not take place: no byte of it was sent. Dispatches the request again; a
+  /// resume is replaced by a retry if the route allows one.
+  virtual void on_not_sent(SendKind kind) = 0;
   virtual void note_denied(const BackendId& backend) = 0;
   virtual void end_with_failure(FailureReason reason) = 0;
 };
 
+/// Finds a back end for the next send of one request and starts the attempt there.
+///
 /// Held by a shared pointer, because the guard, the gate and the queue call back later; released
 /// with its owner. Used on one event loop.
 class RequestDispatch final : public QueueWaiter,
@@ -50,11 +54,11 @@
 
   /// Sends the request, queues it, waits for a claim, or ends it with a failure.
   void begin();
-  /// Whether the guard lets the request be sent now. If not, the request has ended or waits for a
-  /// trial.
-  bool passes_guard();
-  /// Resumes a run at the engine that holds its copy, without queueing. Returns false if the
-  /// engine's rate limit does not allow it now.
+  /// Checks the quarantine. Returns whether the request may be sent now; otherwise claims a trial
+  /// or ends the request.
+  bool check_guard();
+  /// Resumes a run at the engine that holds its copy, without queueing. Returns false if the claim
+  /// to send to that engine is denied.
   bool start_resume(const PlacementChoice& choice) {
     return claim_and_start(choice, SendKind::kResume);
   }
@@ -62,8 +66,8 @@
   void cancel();
   /// Whether the request is quarantined but was granted one send.
   bool trial() const { return trial_; }
-  /// Whether rate limits or backoff close some back ends to this node and no other back end can
-  /// take the request. With `include_tried`, the back ends that it was sent to are considered, too.
+  /// Whether no back end can take the request now and rate limits or backoff exclude at least one.
+  /// With `include_tried`, the back ends that it was sent to are considered, too.
   bool no_backend_accepts(bool include_tried) const;
   FailureReason no_backend_reason() const;
   /// Retry-After of a request that certainly has not run. `fallback` applies if nothing better is
@@ -77,9 +81,11 @@
  private:
   /// What a back end must fulfil, besides being allowed to take the request.
   enum class Requirement : std::uint8_t {
-    kNone,             ///< No further condition, as without a queue.
-    kRoom,             ///< It is predicted to serve the request within its target latency.
-    kRoomWhileQueued,  ///< As kRoom. If no back end is available, the request stays queued.
+    kNone,  ///< No further condition, as without a queue.
+    kRoom,  ///< It is predicted to serve the request within its target latency.
+    /// As kRoom. If no back end is available, a request that was never sent stays queued, unless
+    /// rate limits or backoff exclude a back end.
+    kRoomWhileQueued,
   };
   enum class Outcome : std::uint8_t { kDone, kNoRoom };
 
--- a/src/gateway/request_log.h
+++ b/src/gateway/request_log.h
@@ -36,7 +36,7 @@
   /// or at another node.
   void note_failure(const http::HttpError& error, const Attempt& attempt,
                     std::string fingerprint) const;
-  /// Logs that the chosen back end has no room.
+  /// Logs that the claim to send to the chosen back end was denied.
   void note_denied(const BackendId& backend) const;
 
   /// How a request ended.
@@ -44,7 +44,8 @@
     std::string fingerprint;  ///< Empty if it was never computed.
     std::string service;
     std::string outcome;
-    /// Why the last attempt was not retried; empty if no retry was needed.
+    /// Why the last attempt was not retried; empty if no retry was needed, and if the retry budget
+    /// denied the run after a failed prefill call.
     std::string not_sent_again;
     std::uint64_t attempts = 0;
     std::uint64_t configuration = 0;
--- a/src/gateway/request_queue.h
+++ b/src/gateway/request_queue.h
@@ -21,12 +21,15 @@
   TenantName tenant;           ///< Empty for a request without a tenant.
   std::uint32_t priority = 0;  ///< 0 is the most urgent.
   bool begun = false;          ///< The caller has received the start of the stream.
-  bool sent_before = false;  ///< After a rejection it would be unknown whether the request has run.
-  bool returned = false;     ///< Came back after the Retry-After time of an earlier rejection.
-  bool room_seen = false;    ///< Some back end has room now. The request is not rejected then.
-  double cost = 1;           ///< Expected work, in the same unit for all requests of the service.
-  std::size_t bytes = 0;     ///< Size of the body.
-  MonotonicTime target{};    ///< When the answer or first event is due.
+  /// Sent to a back end before, so a rejection could not be answered as not run.
+  bool sent_before = false;
+  /// The caller sent it again after the Retry-After time of an earlier rejection, or it was sent to
+  /// a back end before. Set by the queue.
+  bool returned = false;
+  bool room_seen = false;  ///< Some back end has room now. The request is not rejected then.
+  double cost = 1;         ///< Expected work, in the same unit for all requests of the service.
+  std::size_t bytes = 0;   ///< Size of the body.
+  MonotonicTime target{};  ///< When the answer or first event is due.
   MonotonicTime deadline{};
 
   /// Whether a queue may reject the request.
@@ -35,9 +38,9 @@
 
 /// Why a queue rejects a request.
 enum class QueueRejectReason : std::uint8_t {
-  kTooLate,    ///< Even the optimistic prediction is past the deadline.
+  kTooLate,    ///< Even the most optimistic predicted start is too late for the deadline.
   kFull,       ///< The limit on requests or bytes is reached.
-  kDisplaced,  ///< Displaced by a request of a smaller tenant or class.
+  kDisplaced,  ///< Removed from a full queue for a tenant and class with fewer requests in it.
   kExpired,    ///< No back end had room in time.
   kStopping,   ///< This node is stopping; other nodes can serve the request.
 };
@@ -88,8 +91,7 @@
   virtual bool has_waiting(const ServiceName& service) const = 0;
   /// Number of waiting requests of all services.
   virtual std::size_t waiting() const = 0;
-  /// `waiter` must outlive the place. Of its members only queue_fingerprint() is called from within
-  /// this call.
+  /// `waiter` must outlive the place. join() calls only its queue_fingerprint().
   virtual JoinResult join(QueueRequest request, QueueWaiter& waiter) = 0;
   /// Called when an attempt of this node has ended, so its back end may have room. `completed` says
   /// that the back end worked on the request, so that the attempt counts for the rate at which the
--- a/src/gateway/request_session.cc
+++ b/src/gateway/request_session.cc
@@ -71,7 +71,7 @@
                            http::find_header(request_.headers, names.token_counts),
                            http::find_header(request_.headers, names.output_estimate));
     if (wants_backup(route_, &*service->engine, &*prompt_, id_,
-                     environment_.replicates_resumable)) {
+                     environment_.replicate_retryable_streams)) {
       backup_.enable(id_, environment_.gate);
     }
   }
@@ -151,12 +151,12 @@
   const Backend& backend = *choice.backend;
   const AttemptInput input = attempt_input();
   attempt_.emplace(starter_.make(choice, kind, input));
-  if (attempt_->prefill) {
+  if (attempt_->is_prefill_call) {
     prefill_attempted_ = true;
   } else {
     tried_.insert(backend.id);
   }
-  note(attempt_->prefill ? "prefill started" : "attempt started", backend.address.value());
+  note(attempt_->is_prefill_call ? "prefill started" : "attempt started", backend.address.value());
   starter_.send(*attempt_, backend, input, *this);
   watch_progress();
 }
@@ -168,7 +168,7 @@
           .prompt = prompt_ ? &*prompt_ : nullptr,
           .tried = tried_,
           .priority = priority(),
-          .left = time_left(),
+          .time_left = time_left(),
           .last_event = last_event_,
           .head_sent = head_sent_,
           .trial = dispatch_->trial()};
@@ -183,21 +183,21 @@
   attempt_->statement = read_statement(head, environment_.names);
   const BackendStatement& statement = attempt_->statement;
   note_statement(statement);
-  const bool ran = !attempt_->prefill && statement.is_signed && !statement.not_run;
-  attempt_->streams = ran && is_stream() && is_success(head.status);
-  if (attempt_->streams && attempt_->resumed_run && backup_.head()) {
+  const bool ran = !attempt_->is_prefill_call && statement.is_signed && !statement.not_run;
+  attempt_->forwards_events = ran && is_stream() && is_success(head.status);
+  if (attempt_->forwards_events && attempt_->resumed_run && backup_.head()) {
     attempt_->head = backup_.head();
-  } else if (attempt_->streams && attempt_->cache_backup) {
+  } else if (attempt_->forwards_events && attempt_->cache_backup) {
     backup_.note_head(head);
   }
-  if (ran && !attempt_->streams) {
-    // Servers that are not engines usually start a request when they receive it.
+  if (ran && !attempt_->forwards_events) {
+    // Back ends that are not engines usually start a request when they receive it.
     note_run(environment_.clock.now() - attempt_->started);
   }
 }
 
 /// Records the load, pace and limits that an answer reports. Status 421 comes from another back end
-/// that now has the address, so only its load is recorded.
+/// that now has the address, so nothing is recorded.
 void RequestSession::note_statement(const BackendStatement& statement) {
   if (statement.load) {
     environment_.loads.note_report(attempt_->backend, *statement.load, environment_.clock.now());
@@ -214,7 +214,7 @@
 
 void RequestSession::on_body(std::string_view bytes) {
   const std::shared_ptr<RequestSession> keep = shared_from_this();
-  if (!attempt_->streams) {
+  if (!attempt_->forwards_events) {
     attempt_->body.append(bytes);
     return;
   }
@@ -224,7 +224,7 @@
 
 void RequestSession::on_complete() {
   const std::shared_ptr<RequestSession> keep = shared_from_this();
-  if (attempt_->prefill) {
+  if (attempt_->is_prefill_call) {
     end_prefill(attempt_->head->status != 200);
     return;
   }
@@ -233,17 +233,17 @@
 }
 
 /// A prefill call cannot run the request, so a run may follow whatever its result.
-void RequestSession::end_prefill(bool refused) {
+void RequestSession::end_prefill(bool failed) {
   const Backend* backend = environment_.fleet.find(attempt_->backend);
   const auto handle =
-      refused ? std::nullopt : environment_.engines.read_cache_handle(attempt_->body);
+      failed ? std::nullopt : environment_.engine_calls.read_cache_handle(attempt_->body);
   if (handle && backend != nullptr) {
     cache_.hold({backend->id, backend->address, *handle});
   }
   if (handle) {
     observe_prefill();
   }
-  note(handle ? "prefill done" : "prefill refused", handle.value_or(""));
+  note(handle ? "prefill done" : "prefill returned no cache handle", handle.value_or(""));
   end_attempt(handle ? AttemptVerdict::kGood : failed_prefill_verdict(attempt_->statement));
   if (!handle && !retry_limit_.spend(service_)) {
     end_with_failure(FailureReason::kRefused);
@@ -257,23 +257,23 @@
 /// appear too fast.
 void RequestSession::observe_prefill() {
   const bool certain = prompt_ && !attempt_->uses_cache && !attempt_->cache_source &&
-                       attempt_->unread_tokens == prompt_->own_tokens();
+                       attempt_->prefill_tokens == prompt_->own_tokens();
   if (environment_.observer == nullptr || !certain) {
     return;
   }
   const MonotonicTime now = environment_.clock.now();
   environment_.observer->note_prefill({.engine = attempt_->backend,
                                        .took = now - attempt_->started,
-                                       .tokens = attempt_->unread_tokens,
+                                       .tokens = attempt_->prefill_tokens,
                                        .tokens_ahead = attempt_->tokens_ahead,
-                                       .with_first_event = !attempt_->prefill},
+                                       .with_first_event = !attempt_->is_prefill_call},
                                       now);
 }
 
 /// The remaining length of the stream is unknown if the caller resumed it.
 void RequestSession::observe_stream() {
   const bool known = prompt_ && (timing_.events() != 0 || !last_event_);
-  attempt_->observed = std::make_unique<StreamObservation>(
+  attempt_->observation = std::make_unique<StreamObservation>(
       environment_.observer, attempt_->backend,
       known ? std::optional(prompt_->expected_output_tokens) : std::nullopt, timing_.events());
 }
@@ -294,7 +294,7 @@
     if (attempt_->resumed_run) {
       // A resume that the backup engine refused does not count as one of the route's attempts.
       retry_limit_.exclude_send();
-      ++environment_.statistics.copies_missing;
+      ++environment_.statistics.resumes_refused;
     }
     // A missing copy does not mean that the engine is unhealthy or full.
     const AttemptVerdict refused =
@@ -312,11 +312,11 @@
     return;
   }
   reports_.note_answer(*attempt_);
-  if (attempt_->streams) {
+  if (attempt_->forwards_events) {
     relay_complete_answer();
     return;
   }
-  if (!is_success(head.status) && !head_sent_ && route_.repeatable() && may_retry()) {
+  if (!is_success(head.status) && !head_sent_ && route_.repeatable() && acquire_retry()) {
     note("back end answered with an error", std::to_string(head.status));
     failed_answer_ = FailedAnswer{head, std::move(attempt_->body)};
     end_attempt(AttemptVerdict::kFailed);
@@ -328,7 +328,7 @@
 
 void RequestSession::relay_complete_answer() {
   const std::string_view rest = attempt_->events.rest();
-  if (attempt_->streams) {
+  if (attempt_->forwards_events) {
     send_answer_head(*attempt_->head);
     writer_->send_body(rest);
     writer_->finish();
@@ -341,7 +341,8 @@
     send_complete_answer(*attempt_->head, attempt_->body);
   }
   ++environment_.statistics.answered;
-  environment_.statistics.continued_whole += attempt_->streams && attempt_->resumed_run ? 1 : 0;
+  environment_.statistics.resumes_completed +=
+      attempt_->forwards_events && attempt_->resumed_run ? 1 : 0;
   end_attempt(is_success(attempt_->head->status) ? AttemptVerdict::kGood : AttemptVerdict::kFailed);
   finish("answered");
 }
@@ -355,11 +356,11 @@
 void RequestSession::forward_events() {
   bool forwarded = false;
   while (const auto event = attempt_->events.next()) {
-    if (!attempt_->prefill_done) {
-      attempt_->prefill_done = true;
+    if (!attempt_->prefill_ended) {
+      attempt_->prefill_ended = true;
       note("first event", "");
       note_run(Duration::zero());
-      environment_.loads.note_read(attempt_->backend, attempt_->unread_tokens);
+      environment_.loads.note_read(attempt_->backend, attempt_->prefill_tokens);
       observe_prefill();
       observe_stream();
     }
@@ -381,10 +382,10 @@
   }
   backup_.note_event(event);
   timing_.note_event(environment_.clock.now());
-  attempt_->observed->note_event(environment_.clock.now());
+  attempt_->observation->note_event(environment_.clock.now());
   writer_->send_body(event.bytes);
   if (writer_->buffered_bytes() > kMaxCallerBufferBytes) {
-    attempt_->observed->note_reading_stopped();
+    attempt_->observation->note_reading_stopped();
     attempt_->exchange->set_reading(false);
   }
   return true;
@@ -411,7 +412,7 @@
     ++unreachable_;
     end_attempt(AttemptVerdict::kUnreachable);
     if (unreachable_ < kMaxUnreachableAttempts) {
-      dispatch_unsent(attempt_->resumed_run ? SendKind::kResume : SendKind::kRun);
+      on_not_sent(attempt_->resumed_run ? SendKind::kResume : SendKind::kRun);
     } else {
       end_with_failure(FailureReason::kUnreachable);
     }
@@ -425,7 +426,7 @@
   if (timed_out) {
     environment_.loads.note_silence(attempt_->backend, environment_.clock.now());
   }
-  if (attempt_->prefill) {
+  if (attempt_->is_prefill_call) {
     end_prefill(true);
     return;
   }
@@ -434,7 +435,8 @@
   // A failure on a kept-alive connection that was already closed says nothing about the back end.
   const bool stale = error.code == http::HttpErrc::kStaleConnection;
   if (!stale && !timed_out && !prompt_) {
-    // A server that is not an engine has usually started a request when it closes the connection.
+    // A back end that is not an engine has usually started a request when it closes the
+    // connection.
     note_run(environment_.clock.now() - attempt_->started);
   }
   if (stale) {
@@ -461,13 +463,13 @@
   const BackupObstacle obstacle = backup_.obstacle(run, environment_.clock.now());
   if (obstacle != BackupObstacle::kNone) {
     if (attempt_->cache_backup) {
-      ++environment_.statistics.not_continued;
+      ++environment_.statistics.streams_not_resumed;
       note("stream not resumed at its backup engine", describe(obstacle));
     }
     retry_or_fail(FailureReason::kBroken);
     return;
   }
-  if (!dispatch_->passes_guard()) {
+  if (!dispatch_->check_guard()) {
     return;
   }
   if (!retry_limit_.spend(service_)) {
@@ -478,12 +480,12 @@
   const PlacementChoice choice{.backend = backup_.engine()};
   note("stream resumes at its backup engine", choice.backend->address.value());
   if (!dispatch_->start_resume(choice)) {
-    dispatch_unsent(SendKind::kResume);
+    on_not_sent(SendKind::kResume);
   }
 }
 
 /// A run can be resumed only at its backup engine; any other back end would run the request again.
-void RequestSession::dispatch_unsent(SendKind kind) {
+void RequestSession::on_not_sent(SendKind kind) {
   if (kind == SendKind::kResume) {
     retry_limit_.refund();
     retry_or_fail(FailureReason::kBroken);
@@ -497,11 +499,11 @@
   note("request not sent: back end is backing off", "");
   ++environment_.statistics.withdrawn;
   tried_.erase(attempt_->backend);
-  if (attempt_->prefill) {
+  if (attempt_->is_prefill_call) {
     prefill_attempted_ = false;
   }
   end_attempt(AttemptVerdict::kNotSent);
-  dispatch_unsent(attempt_->resumed_run ? SendKind::kResume : SendKind::kRun);
+  on_not_sent(attempt_->resumed_run ? SendKind::kResume : SendKind::kRun);
 }
 
 void RequestSession::retry_or_fail(FailureReason reason) {
@@ -516,9 +518,9 @@
     end_with_failure(reason == FailureReason::kRefused ? dispatch_->no_backend_reason() : reason);
     return;
   }
-  if (allowed && may_retry()) {
+  if (allowed && acquire_retry()) {
     if (head_sent_) {
-      ++environment_.statistics.resumed;
+      ++environment_.statistics.started_streams_retried;
     }
     dispatch_->begin();
     return;
@@ -526,8 +528,7 @@
   end_with_failure(reason);
 }
 
-/// Acquires one more send from the route's attempts and the retry budget.
-bool RequestSession::may_retry() {
+bool RequestSession::acquire_retry() {
   retry_denied_reason_ = retry_limit_.acquire(service_, dispatch_->trial(), time_left());
   return retry_denied_reason_.empty();
 }
@@ -538,16 +539,16 @@
   if (!has_active_attempt()) {
     return;
   }
-  if (!std::exchange(attempt_->prefill_done, true)) {
-    environment_.loads.note_read(attempt_->backend, attempt_->unread_tokens);
+  if (!std::exchange(attempt_->prefill_ended, true)) {
+    environment_.loads.note_read(attempt_->backend, attempt_->prefill_tokens);
   }
-  if (attempt_->observed) {
-    attempt_->observed->end(environment_.clock.now());
+  if (attempt_->observation) {
+    attempt_->observation->end(environment_.clock.now());
   }
   environment_.loads.end(attempt_->backend, verdict, environment_.clock.now());
   if (environment_.queue != nullptr) {
-    const bool worked =
-        !attempt_->prefill && !is_certainly_not_prefilled(verdict) && !attempt_->statement.not_run;
+    const bool worked = !attempt_->is_prefill_call && !is_certainly_not_prefilled(verdict) &&
+                        !attempt_->statement.not_run;
     environment_.queue->note_attempt_ended(service_, worked);
   }
   if (prompt_ && is_certainly_not_prefilled(verdict)) {
@@ -560,7 +561,8 @@
   attempt_->backend = BackendId();
 }
 
-/// Starts the timer after which a retryable request leaves an unresponsive back end.
+/// Starts the timer that detects a back end that sends nothing: for retryable requests, and for
+/// replicated streams whose engine has terminated.
 void RequestSession::watch_progress() {
   if (!route_.repeatable() && !has_runner_terminated()) {
     return;
@@ -578,7 +580,7 @@
     watch_progress();
     return;
   }
-  if (dispatch_->trial() || !has_active_attempt() || attempt_->prefill ||
+  if (dispatch_->trial() || !has_active_attempt() || attempt_->is_prefill_call ||
       retry_limit_.is_last_attempt(false)) {
     return;
   }
@@ -591,20 +593,20 @@
   }
   note("attempt timed out without progress", "");
   if (head_sent_) {
-    ++environment_.statistics.resumed;
+    ++environment_.statistics.started_streams_retried;
   }
   abandon_unresponsive_attempt();
   dispatch_->begin();
 }
 
 bool RequestSession::has_runner_terminated() const {
-  return has_active_attempt() && attempt_->prefill_done &&
+  return has_active_attempt() && attempt_->prefill_ended &&
          backup_.has_runner_terminated(attempt_->backend, environment_.clock.now());
 }
 
-/// A server that is no longer registered and sends nothing is taken as terminated, even if its
+/// An engine that is no longer registered and sends nothing is treated as terminated, even if its
 /// connection is still open. If the backup engine cannot be used, the session keeps waiting,
-/// because the shared store may lose the registration of a server that is still running.
+/// because the shared store may lose the registration of an engine that is still running.
 bool RequestSession::resume_if_runner_terminated() {
   // While bytes wait for the caller, reading may be stopped, so missing events prove nothing.
   if (!has_runner_terminated() || writer_->buffered_bytes() != 0) {
@@ -614,7 +616,7 @@
   if (backup_.obstacle(run, environment_.clock.now()) != BackupObstacle::kNone) {
     return false;
   }
-  note("server terminated without closing the connection", "");
+  note("engine is unregistered and sends nothing; treated as terminated", "");
   abandon_unresponsive_attempt();
   resume_or_retry(run);
   return true;
@@ -636,7 +638,7 @@
 
 void RequestSession::on_quarantined(const RequestFingerprint& request) {
   const bool begun =
-      dispatch_->trial() || (has_active_attempt() && (attempt_->head || attempt_->prefill_done));
+      dispatch_->trial() || (has_active_attempt() && (attempt_->head || attempt_->prefill_ended));
   if (ended_ || begun || fingerprint() != request) {
     return;
   }
@@ -654,7 +656,7 @@
   const std::shared_ptr<RequestSession> keep = shared_from_this();
   if (has_active_attempt()) {
     reports_.note_failure(service_, *attempt_, AttemptFailureKind::kAbandoned);
-    may_have_run_ = may_have_run_ || !attempt_->prefill;
+    may_have_run_ = may_have_run_ || !attempt_->is_prefill_call;
   }
   end_with_failure(reason);
 }
@@ -701,10 +703,10 @@
 
 void RequestSession::on_deadline() {
   const std::shared_ptr<RequestSession> keep = shared_from_this();
-  if (has_active_attempt() && !attempt_->prefill_done) {
+  if (has_active_attempt() && !attempt_->prefill_ended) {
     reports_.note_failure(service_, *attempt_, AttemptFailureKind::kUnresponsive);
   }
-  may_have_run_ = may_have_run_ || (has_active_attempt() && !attempt_->prefill);
+  may_have_run_ = may_have_run_ || (has_active_attempt() && !attempt_->is_prefill_call);
   note("deadline exceeded", "");
   end_with_failure(FailureReason::kTimeout);
 }
--- a/src/gateway/request_session.h
+++ b/src/gateway/request_session.h
@@ -89,7 +89,7 @@
   }
   void note_denied(const BackendId& backend) override { log_.note_denied(backend); }
   void start_attempt(const PlacementChoice& choice, SendKind kind) override;
-  void dispatch_unsent(SendKind kind) override;
+  void on_not_sent(SendKind kind) override;
   void end_with_failure(FailureReason reason) override;
 
   /// None if the number of tokens per event is not known for the service.
@@ -97,16 +97,18 @@
   AttemptInput attempt_input() const;
   std::uint32_t priority() const;
   void note_statement(const BackendStatement& statement);
-  void end_prefill(bool refused);
+  void end_prefill(bool failed);
   void observe_prefill();
   void observe_stream();
   void note_run(Duration ago);
-  bool may_retry();
+  /// Acquires one more send from the route's attempts and the retry budget. Returns whether it was
+  /// granted.
+  bool acquire_retry();
   void on_send_withdrawn();
   FailedRun failed_run(http::HttpErrc error) const;
-  /// Whether the stream is replicated and its server is known to have terminated.
+  /// Whether the stream is replicated and its engine is known to have terminated.
   bool has_runner_terminated() const;
-  /// Resumes the stream if its server has terminated and sends nothing. Returns whether it did.
+  /// Resumes the stream if its engine has terminated and sends nothing. Returns whether it did.
   bool resume_if_runner_terminated();
   void abandon_unresponsive_attempt();
   void resume_or_retry(const FailedRun& run);
@@ -162,7 +164,8 @@
   std::uint32_t unreachable_ = 0;   ///< Attempts that got no connection.
   bool prefill_attempted_ = false;  ///< A prefill engine was tried; only one is tried per request.
   bool may_have_run_ = false;
-  /// Why the last attempt was not retried; empty if no retry was needed.
+  /// Why the last attempt was not retried; empty if no retry was needed, and if the retry budget
+  /// denied the run after a failed prefill call.
   std::string_view retry_denied_reason_;
   bool run_noted_ = false;
   bool head_sent_ = false;  ///< The caller has received the response head.
--- a/src/gateway/retry_budget.h
+++ b/src/gateway/retry_budget.h
@@ -1,4 +1,4 @@
-// This node's share of the fleet's retry budget, which nodes use without communicating.
+// This node's share of the fleet's retry budget, computed without communication between nodes.
 #pragma once
 
 #include <cstdint>
@@ -19,7 +19,7 @@
   Duration window{std::chrono::seconds(10)};
 };
 
-/// Limits the retries of each service; the caller passes the time in. A node may spend a share of
+/// Limits the retries of each service; times are passed as arguments. A node may spend a share of
 /// its own requests and its part of the slack, both reduced by `kWindowSkewFactor`, because the
 /// windows of nodes are not aligned. A restarted node does not know what it spent before, so it
 /// gets no part of the slack during its first window.
--- a/src/gateway/send_gate.h
+++ b/src/gateway/send_gate.h
@@ -27,7 +27,7 @@
 /// Result of a claim.
 enum class ClaimResult : std::uint8_t {
   kGranted,  ///< The request may be sent now.
-  kDenied,   ///< There is no room. has_room() returns false for a while.
+  kDenied,   ///< A rate limit or backoff denies it. has_room() returns false for a while.
   kPending,  ///< The callback receives the result later.
 };
 
@@ -35,27 +35,29 @@
 /// again.
 struct RoomForecast {
   Duration wait{};           ///< Until the first of them does.
-  bool backing_off = false;  ///< Otherwise its rate limit is used up.
+  bool backing_off = false;  ///< True if it is in a backoff period, false if its limit is used up.
 };
 
 /// Used on one event loop.
 class SendGate {
  public:
   virtual ~SendGate() = default;
-  /// Whether the back end may have room for a request, as far as this node knows.
+  /// Whether the back end's rate limit and backoff may allow a request now, as far as this node
+  /// knows.
   virtual bool has_room(const BackendId& backend, MonotonicTime now) const = 0;
-  /// Must be called before each send of any kind. `done` is called only after kPending.
+  /// Claims one send from the back end's rate limit. Must be called before each send, including
+  /// prefill calls and resumes. If it returns kPending, `done` is called later with the result.
   virtual ClaimResult claim(const BackendId& backend, SendRank rank,
                             std::function<void(bool granted)> done) = 0;
   /// Whether the back end is in a backoff period, in which this node sends it nothing.
   virtual bool is_backing_off(const BackendId& backend, MonotonicTime now) const = 0;
   /// Whether a claimed request may still be sent. Must be called right before the first byte is
-  /// sent: the back end may have begun a backoff period while the request waited for a permit or a
+  /// sent: the back end may have begun a backoff period while the request waited for its claim or a
   /// connection.
   virtual bool may_send(const BackendId& backend, MonotonicTime now) const = 0;
   /// Called when a claimed request is being sent.
   virtual void note_send(const BackendId& backend, MonotonicTime now) = 0;
-  /// None if all back ends of the service have room.
+  /// None if rate limits and backoff exclude no back end of the service.
   virtual std::optional<RoomForecast> forecast(const ServiceName& service,
                                                MonotonicTime now) const = 0;
   virtual void note_answer(const BackendAnswer& answer) = 0;
--- a/src/gateway/statistics.h
+++ b/src/gateway/statistics.h
@@ -41,7 +41,7 @@
   std::uint64_t unknown = 0;   ///< Ended without knowing whether it ran.
   std::uint64_t broken = 0;    ///< Streams aborted after their head was sent.
   std::uint64_t caller_gone = 0;
-  std::uint64_t no_route = 0;
+  std::uint64_t no_route = 0;  ///< Refused: no such route, or this node has no configuration.
   std::uint64_t unknown_key = 0;
   std::uint64_t attempts = 0;
   std::uint64_t retries = 0;  ///< Sends charged to the retry budget.
@@ -51,13 +51,13 @@
   std::uint64_t rate_limited = 0;   ///< Ended because the rate limits of back ends were used up.
   std::uint64_t backing_off = 0;    ///< Ended because back ends had asked this node to back off.
   std::uint64_t withdrawn = 0;      ///< Sends cancelled by a backoff before connecting.
-  std::uint64_t resumed = 0;  ///< Started streams retried at a back end after their last event.
-  std::uint64_t streams_replicated = 0;  ///< Runs sent with a backup engine.
-  std::uint64_t streams_continued = 0;   ///< Failed streams resumed at their backup engine.
-  std::uint64_t continued_whole = 0;     ///< Resumed streams that the backup engine completed.
-  std::uint64_t copies_missing = 0;      ///< Resumed streams that the backup engine refused.
-  std::uint64_t not_continued = 0;       ///< Failed streams whose backup engine could not be used.
-  LatencyHistogram first_byte;           ///< From arrival to the first byte of the answer.
+  std::uint64_t started_streams_retried = 0;  ///< Started streams retried after their last event.
+  std::uint64_t streams_replicated = 0;       ///< Runs sent with a backup engine.
+  std::uint64_t resume_attempts = 0;          ///< Attempts to resume a failed stream, sent or not.
+  std::uint64_t resumes_completed = 0;        ///< Streams that their backup engine completed.
+  std::uint64_t resumes_refused = 0;          ///< Resumes that the backup engine refused.
+  std::uint64_t streams_not_resumed = 0;  ///< Failed replicated streams that could not be resumed.
+  LatencyHistogram first_byte;            ///< From arrival to the first byte of the answer.
 };
 
 }  // namespace ochrespring::gateway
--- a/src/gateway/stream_backup.cc
+++ b/src/gateway/stream_backup.cc
@@ -23,7 +23,7 @@
 constexpr std::array<std::string_view, 11> kObstacleNames{"",
                                                           "no backup engine",
                                                           "already resumed once",
-                                                          "server may still be running it",
+                                                          "engine may still be running it",
                                                           "retried instead",
                                                           "no event received",
                                                           "event without id",
@@ -40,9 +40,9 @@
 }  // namespace
 
 bool wants_backup(const Route& route, const EngineShape* shape, const Prompt* prompt,
-                  std::string_view request_id, bool replicates_resumable) {
+                  std::string_view request_id, bool replicate_retryable_streams) {
   const bool may_be_retried = route.repeatable() && route.most_attempts > 1;
-  if (may_be_retried && !replicates_resumable) {
+  if (may_be_retried && !replicate_retryable_streams) {
     return false;
   }
   if (route.kind != RequestKind::kStreaming || shape == nullptr || !shape->backs_up_streams ||
@@ -53,7 +53,7 @@
 }
 
 const Backend* BackupChooser::choose(const Query& query, MonotonicTime now) const {
-  const BackendGroup* group = fleet_.index().find(query.runner->service, false);
+  const BackendGroup* group = fleet_.index().find(query.runner->service, /*readers=*/false);
   if (group == nullptr) {
     return nullptr;
   }
@@ -103,7 +103,8 @@
 
 double BackupChooser::load_of(const Backend& engine, MonotonicTime now) const {
   const BackendLoad* load = loads_.find(engine.id);
-  // The counts that other nodes report are exact; the engine's own report is used if it is higher.
+  // The counts that other nodes report are exact, but may miss requests of some nodes. The engine's
+  // own report includes those, so it is used if it is higher.
   double requests = loads_.others(engine.id, now).requests;
   if (load != nullptr) {
     requests = std::max(requests, load->reported_others(now)) + load->in_flight();
@@ -130,7 +131,7 @@
                                                 MonotonicTime now) {
   engine_ = BackendId();
   head_.reset();
-  event_received_ = false;
+  event_with_id_forwarded_ = false;
   if (request_id_.empty() || used_) {
     return std::nullopt;
   }
@@ -147,7 +148,7 @@
 }
 
 void StreamBackup::note_event(const StreamEvent& event) {
-  event_received_ = event_received_ || event.id.has_value();
+  event_with_id_forwarded_ = event_with_id_forwarded_ || event.id.has_value();
   saw_event_without_id_ = saw_event_without_id_ || (!event.id && has_data(event.bytes));
 }
 
@@ -157,12 +158,12 @@
 }
 
 bool StreamBackup::has_runner_terminated(const BackendId& runner, MonotonicTime now) const {
-  return replicates() && !used_ && runner == runner_ &&
+  return is_replicated() && !used_ && runner == runner_ &&
          (fleet_.find(runner) == nullptr || is_replaced(runner, now));
 }
 
 BackupObstacle StreamBackup::obstacle(const FailedRun& run, MonotonicTime now) const {
-  if (!replicates()) {
+  if (!is_replicated()) {
     return BackupObstacle::kNoBackup;
   }
   if (used_) {
@@ -171,7 +172,7 @@
   if (!is_connection_break(run.error) && !run.runner_terminated) {
     return BackupObstacle::kRunnerMayBeRunning;
   }
-  // A kept-alive connection that was already closed says nothing about its server, which usually
+  // A kept-alive connection that was already closed says nothing about its engine, which usually
   // never received the request. There is no copy then, and asking for it would cost one unit of the
   // retry budget.
   if (run.error == http::HttpErrc::kStaleConnection && run.retry_allowed &&
@@ -180,7 +181,7 @@
   }
   // An engine that accepts the request without having a copy would run it a second time. An engine
   // that crashed during prefill was observed to have made no copy.
-  if (!event_received_) {
+  if (!event_with_id_forwarded_) {
     return BackupObstacle::kNoEventReceived;
   }
   if (saw_event_without_id_) {
@@ -203,7 +204,7 @@
 }
 
 const Backend* StreamBackup::engine() const {
-  return replicates() ? fleet_.find(engine_) : nullptr;
+  return is_replicated() ? fleet_.find(engine_) : nullptr;
 }
 
 }  // namespace ochrespring::gateway
--- a/src/gateway/stream_backup.h
+++ b/src/gateway/stream_backup.h
@@ -1,5 +1,5 @@
 // Backup engines of streams: chooses the engine that the KV cache of a run is replicated to, and
-// decides whether a stream whose server failed is resumed there.
+// decides whether a stream whose engine failed is resumed there.
 #pragma once
 
 #include <cstdint>
@@ -23,11 +23,11 @@
 
 /// Whether the runs of a request are replicated: the service's engines must support it, and at
 /// least kMinReplicatedEvents events of output must be expected. `shape` and `prompt` may be null.
-/// The request needs an id, by which the backup engine knows the run. A stream that its route
-/// allows to be retried is replicated only with `replicates_resumable`: without a copy it loses
-/// only the time to prefill its output so far, which usually costs less than copies.
+/// The request needs an id, by which the backup engine knows the run. A retryable stream is
+/// replicated only with `replicate_retryable_streams`: without a copy it loses only the time to
+/// prefill its output so far, which usually costs less than copies.
 bool wants_backup(const Route& route, const EngineShape* shape, const Prompt* prompt,
-                  std::string_view request_id, bool replicates_resumable);
+                  std::string_view request_id, bool replicate_retryable_streams);
 
 /// Shorter streams do not justify the memory that a copy occupies at a second engine; see
 /// docs/design/load-decisions.md, part 4.
@@ -43,7 +43,7 @@
     const std::set<BackendId>* avoid = nullptr;  ///< Engines the request was sent to.
   };
 
-  /// With a null `gate`, all engines count as having room.
+  /// With a null `gate`, rate limits and backoff exclude no engine.
   BackupChooser(const FleetState& fleet, const LoadTable& loads, const SendGate* gate)
       : fleet_(fleet), loads_(loads), gate_(gate) {}
 
@@ -67,9 +67,9 @@
   kNone,  ///< It may be resumed.
   kNoBackup,
   kAlreadyUsed,         ///< A resume was already attempted.
-  kRunnerMayBeRunning,  ///< Its server is unresponsive, but not known to have terminated.
-  kRetryPreferred,      ///< The server most likely never received it, and the route allows a retry.
-  kNoEventReceived,     ///< No event was received: the run may not have started or been copied.
+  kRunnerMayBeRunning,  ///< The runner is unresponsive, but not known to have terminated.
+  kRetryPreferred,      ///< The runner most likely never received it, and the route allows a retry.
+  kNoEventReceived,     ///< No event with an id: the run may not have started or been copied.
   kUnknownPosition,     ///< An event without an id was forwarded, so the position is unknown.
   kNotRegistered,       ///< The backup engine is not registered, or another one has its address.
   kLeaving,             ///< The backup engine has announced that it is leaving.
@@ -80,15 +80,15 @@
 /// Text for logs; empty for kNone.
 std::string_view describe(BackupObstacle obstacle);
 
-/// How the run of a stream at its first server failed.
+/// How the run of a stream at its first engine failed.
 struct FailedRun {
   http::HttpErrc error = http::HttpErrc::kReset;
-  bool runner_terminated = false;  ///< The server is known to have terminated.
+  bool runner_terminated = false;  ///< The engine is known to have terminated.
   bool retry_allowed = false;      ///< The route allows another retry.
   bool has_time = true;
 };
 
-/// Whether `error` means that the connection was closed or reset, so that the server no longer
+/// Whether `error` means that the connection was closed or reset, so that the engine no longer
 /// works on the request. A timeout does not show that.
 bool is_connection_break(http::HttpErrc error);
 
@@ -108,17 +108,19 @@
   void note_event(const StreamEvent& event);
   /// Stores the head with which the runner started the stream.
   void note_head(const http::ResponseHead& head) { head_ = head; }
-  /// Head of the first server, which also applies to the resumed stream; none if that server had
+  /// Head of the runner's answer, which also applies to the resumed stream; none if the runner had
   /// not answered.
   const std::optional<http::ResponseHead>& head() const { return head_; }
 
-  /// Whether the run at `runner` has a copy and that server is known to have terminated.
+  /// Whether the run at `runner` has a copy and that engine is known to have terminated.
   bool has_runner_terminated(const BackendId& runner, MonotonicTime now) const;
   BackupObstacle obstacle(const FailedRun& run, MonotonicTime now) const;
   /// The engine that holds the copy; null if there is none or it is not registered.
   const Backend* engine() const;
-  RunReference source() const { return {runner_address_, request_id_}; }
-  bool replicates() const { return !engine_.empty(); }
+  /// Identifies the replicated run to its backup engine.
+  RunReference run_reference() const { return {runner_address_, request_id_}; }
+  /// Whether the current run has a backup engine.
+  bool is_replicated() const { return !engine_.empty(); }
   /// Called when the stream is about to be resumed at the backup.
   void mark_used() { used_ = true; }
 
@@ -135,8 +137,8 @@
   BackendId engine_;  ///< Empty if the current run is not replicated.
   std::optional<http::ResponseHead> head_;
   bool used_ = false;
-  bool event_received_ = false;        ///< An event of the run was received.
-  bool saw_event_without_id_ = false;  ///< An event without an id was forwarded.
+  bool event_with_id_forwarded_ = false;  ///< Since begin_run().
+  bool saw_event_without_id_ = false;     ///< An event without an id was forwarded.
 };
 
 }  // namespace ochrespring::gateway
--- a/src/gateway/stream_observation.h
+++ b/src/gateway/stream_observation.h
@@ -33,7 +33,7 @@
   void end(MonotonicTime now);
 
  private:
-  /// Streams with at least this many events to come count as long.
+  /// A stream is reported to the observer as long while at least this many events are expected.
   static constexpr std::uint64_t kMinLongStreamEvents = 4;
   /// Number of gaps averaged in one observation. Events are recorded when this node's event loop
   /// runs, which is up to 90 ms late on a node with 0.09 of a core. That is twice a typical gap and
--- a/src/gateway/tests/backed_off_request_test.cc
+++ b/src/gateway/tests/backed_off_request_test.cc
@@ -18,7 +18,7 @@
   void back_off(const char* id) {
     gate.full.insert(BackendId(id));
     gate.backed_off.insert(BackendId(id));
-    gate.backing_off = true;
+    gate.forecast_backing_off = true;
   }
   void back_off_all() {
     for (const char* id : {"b1", "b2", "b3"}) {
@@ -42,9 +42,9 @@
 
 }  // namespace
 
-TEST_CASE_FIXTURE(
-    BackedOffFixture,
-    "a request that waits for a connection goes elsewhere if the back end asks to back off") {
+TEST_CASE_FIXTURE(BackedOffFixture,
+                  "a request that waits for a connection is sent to another back end if its own "
+                  "asks to back off") {
   const auto caller = request("/once/x");
   const std::string first = backend_of_last();
   back_off(first.c_str());
@@ -81,10 +81,11 @@
   CHECK_FALSE(connect());
   CHECK(backend_of_last() != runner);
   CHECK(last().header(names.cache_source) == other_prefill_engine + ":1/1");
-  CHECK(transport.forgotten.empty());
+  CHECK(transport.sent_without_reply.empty());
 }
 
-TEST_CASE_FIXTURE(BackedOffFixture, "a permit is not used if its back end has begun to back off") {
+TEST_CASE_FIXTURE(BackedOffFixture,
+                  "a granted claim is not used if its back end has begun to back off") {
   gate.claims_pending = true;
   request("/once/x");
   const BackendId first = gate.claims.front().first;
@@ -152,7 +153,7 @@
   last().answer(200, {}, "handle=1");
   back_off("p1");
   caller->disconnect();
-  CHECK(transport.forgotten.empty());
+  CHECK(transport.sent_without_reply.empty());
 }
 
 TEST_CASE_FIXTURE(BackedOffFixture,
--- a/src/gateway/tests/caller_keys_test.cc
+++ b/src/gateway/tests/caller_keys_test.cc
@@ -116,7 +116,7 @@
 
 TEST_CASE("a node that cannot tell whether a key is known promises only that nothing ran") {
   KeyedFixture world;
-  world.store_answers = false;
+  world.refresh_succeeds = false;
   CHECK(world.send_with_key("/once/x", "Token new")->head.status == 503);
   CHECK(world.sends() == 0);
 }
--- a/src/gateway/tests/gateway_fixture.h
+++ b/src/gateway/tests/gateway_fixture.h
@@ -57,11 +57,11 @@
     return connected.contains(endpoint.value());
   }
   void send_and_forget(http::ClientRequest request) override {
-    forgotten.push_back(std::move(request));
+    sent_without_reply.push_back(std::move(request));
   }
 
   std::deque<std::shared_ptr<FakeExchange>> started;
-  std::vector<http::ClientRequest> forgotten;
+  std::vector<http::ClientRequest> sent_without_reply;
   std::set<std::string> connected;  ///< Endpoints with an idle connection.
 
  private:
@@ -164,8 +164,8 @@
   FakeEngineCalls engines;
   GatewayStatistics statistics;
   EndLogger logger;
-  bool store_answers = true;
-  Gateway gateway{environment(), [this](auto done) { done(store_answers); }};
+  bool refresh_succeeds = true;
+  Gateway gateway{environment(), [this](auto done) { done(refresh_succeeds); }};
 
   /// The environment of the gateway. Tests may add optional members for a gateway of their own.
   Environment environment() {
@@ -176,7 +176,7 @@
     Environment made = environment();
     made.guard = guard;
     made.gate = gate;
-    made.replicates_resumable = true;
+    made.replicate_retryable_streams = true;
     return made;
   }
 
--- a/src/gateway/tests/rate_limited_request_test.cc
+++ b/src/gateway/tests/rate_limited_request_test.cc
@@ -34,7 +34,7 @@
 
 TEST_CASE_FIXTURE(
     GatedFixture,
-    "a request is sent when its permit is granted, and to another back end when it is denied") {
+    "a request is sent when its claim is granted, and to another back end when it is denied") {
   gate.claims_pending = true;
   const auto caller = request("/once/x");
   CHECK(sends() == 0);
@@ -46,7 +46,8 @@
   CHECK(caller->head.status == 200);
 }
 
-TEST_CASE_FIXTURE(GatedFixture, "a permit is not used if its back end is no longer registered") {
+TEST_CASE_FIXTURE(GatedFixture,
+                  "a granted claim is not used if its back end is no longer registered") {
   gate.claims_pending = true;
   request("/once/x");
   fleet.remove(gate.claims.front().first);
@@ -58,7 +59,7 @@
 }
 
 TEST_CASE_FIXTURE(GatedFixture,
-                  "a request that waits for a permit is not sent after its caller disconnected or "
+                  "a request that waits for a claim is not sent after its caller disconnected or "
                   "its deadline passed") {
   gate.claims_pending = true;
   request("/once/x")->disconnect();
@@ -68,16 +69,15 @@
   gate.settle(true);
   gate.settle(true);
   CHECK(sends() == 0);
-  CHECK(gated.running() == 0);
+  CHECK(gateway_under_test.running() == 0);
 }
 
-TEST_CASE_FIXTURE(
-    GatedFixture,
-    "requests that wait for a permit are answered as not run when the process stops") {
+TEST_CASE_FIXTURE(GatedFixture,
+                  "requests that wait for a claim are answered as not run when the process stops") {
   gate.claims_pending = true;
   const auto caller = request("/once/x");
-  CHECK(gated.running() == 1);
-  gated.finish_all();
+  CHECK(gateway_under_test.running() == 1);
+  gateway_under_test.finish_all();
   CHECK(caller->head.status == 503);
   gate.settle(true);
   CHECK(sends() == 0);
@@ -93,7 +93,7 @@
   CHECK(gate.ranks[1] == kStartedStreamRank);
 }
 
-TEST_CASE_FIXTURE(GatedFixture, "a prefill call needs a permit, too") {
+TEST_CASE_FIXTURE(GatedFixture, "a prefill call claims a send, too") {
   add_backend("e1", "llm", EngineRole::kDecode);
   add_backend("p1", "llm", EngineRole::kPrefill);
   gate.claims_pending = true;
@@ -109,7 +109,7 @@
 
 TEST_CASE_FIXTURE(
     GatedFixture,
-    "every answer reports a limit, except that of another back end at the same address") {
+    "the gate receives every answer except one from another back end at the same address") {
   request("/once-twice/x");
   last().answer(503, {{names.not_run, "1"}, {names.rate_limit, "1.3"}}, "");
   REQUIRE(gate.answers.size() == 1);
--- a/src/gateway/tests/request_guard_benchmark.cc
+++ b/src/gateway/tests/request_guard_benchmark.cc
@@ -16,16 +16,16 @@
 
 http::Request make_request(std::size_t body_bytes) {
   return {
-      "POST", "/auction/grade/17", "", {{"host", "lonja.example"}}, std::string(body_bytes, 'x')};
+      "POST", "/service/route/17", "", {{"host", "hosts.example"}}, std::string(body_bytes, 'x')};
 }
 
-void fingerprint(benchmark::State& state) {
+void request_fingerprint(benchmark::State& state) {
   const http::Request request = make_request(static_cast<std::size_t>(state.range(0)));
   for (auto _ : state) {
     benchmark::DoNotOptimize(gateway::fingerprint_of(request, "tenant"));
   }
 }
-BENCHMARK(fingerprint)->Arg(0)->Arg(1'500)->Arg(17'000)->Arg(100'000);
+BENCHMARK(request_fingerprint)->Arg(0)->Arg(1'500)->Arg(17'000)->Arg(100'000);
 
 }  // namespace
 
--- a/src/gateway/tests/request_guard_test.cc
+++ b/src/gateway/tests/request_guard_test.cc
@@ -55,11 +55,12 @@
   }
 
   FakeGuard guard;
-  Gateway guarded{environment_with(&guard, nullptr), [](auto done) { done(true); }};
+  Gateway gateway_under_test{environment_with(&guard, nullptr), [](auto done) { done(true); }};
 
   std::shared_ptr<gateway::testing::FakeCaller> ask(const std::string& path) {
     auto caller = std::make_shared<gateway::testing::FakeCaller>();
-    guarded.handle({"POST", path, "", {{"host", "h"}, {"x-request-id", "r1"}}, "body"}, caller);
+    gateway_under_test.handle({"POST", path, "", {{"host", "h"}, {"x-request-id", "r1"}}, "body"},
+                              caller);
     return caller;
   }
 };
@@ -108,7 +109,7 @@
   fixture.last().observer->on_head({200, {fixture.signature()}});
   fixture.last().observer->on_body("id: 1\ndata: x\n\n");
   for (const char* path : {"/resumable/x", "/stream/x"}) {
-    fixture.guarded.on_quarantined(GuardedFixture::fingerprint_for(path));
+    fixture.gateway_under_test.on_quarantined(GuardedFixture::fingerprint_for(path));
   }
   CHECK(waiting->head.status == 502);
   CHECK_FALSE(other->ended());
@@ -209,7 +210,7 @@
   const auto caller = std::make_shared<gateway::testing::FakeCaller>();
   gateway.handle({"POST", "/newer/1", "", {{"host", "h"}, {"x-request-id", "r1"}}, "body"}, caller);
   gateway.on_quarantined(GuardedFixture::fingerprint_for("/newer/1"));
-  CHECK(gateway.held().at_configuration == 1);
+  CHECK(gateway.held().awaiting_configuration == 1);
   fixture.guard.verdict = SendVerdict::kRefused;
   Configuration newer = GatewayFixture::make_configuration(2);
   newer.routes.push_back(
@@ -226,10 +227,10 @@
   fixture.guard.verdict = SendVerdict::kTrialDue;
   const auto caller = fixture.ask("/once/1");
   REQUIRE(fixture.guard.claims.size() == 1);
-  CHECK(fixture.guarded.held().at_back_ends == 1);
-  fixture.guarded.finish_all();
+  CHECK(fixture.gateway_under_test.held().awaiting_backend == 1);
+  fixture.gateway_under_test.finish_all();
   CHECK(caller->head.status == 503);
   fixture.guard.claims.front()(true);
   CHECK(fixture.sends() == 0);
-  CHECK(fixture.guarded.running() == 0);
+  CHECK(fixture.gateway_under_test.running() == 0);
 }
--- a/src/gateway/tests/request_session_test.cc
+++ b/src/gateway/tests/request_session_test.cc
@@ -221,7 +221,7 @@
     "an unknown route is answered with 404 only if the configuration is known to be the newest") {
   GatewayFixture fixture;
   CHECK(fixture.send("/none/x")->head.status == 404);
-  fixture.store_answers = false;
+  fixture.refresh_succeeds = false;
   CHECK(fixture.send("/none/x")->head.status == 503);
 }
 
@@ -298,7 +298,7 @@
   CHECK(fixture.last().header(fixture.names.cache_source) == "p1:1/h7");
   fixture.last().answer(200, {fixture.signature()}, "id: 1\n\n");
   CHECK(caller->body == "id: 1\n\n");
-  CHECK(fixture.transport.forgotten.empty());
+  CHECK(fixture.transport.sent_without_reply.empty());
 }
 
 TEST_CASE("the engine gets the address of another engine that caches a shared part") {
@@ -343,9 +343,9 @@
   fixture.last().answer(200, {}, "handle=h7");
   fixture.last().fail(http::HttpErrc::kConnect, false);
   CHECK(caller->head.status == 503);
-  REQUIRE(fixture.transport.forgotten.size() == 1);
-  CHECK(fixture.transport.forgotten[0].path == "/cache/h7");
-  CHECK(fixture.transport.forgotten[0].endpoint.value() == "p1:1");
+  REQUIRE(fixture.transport.sent_without_reply.size() == 1);
+  CHECK(fixture.transport.sent_without_reply[0].path == "/cache/h7");
+  CHECK(fixture.transport.sent_without_reply[0].endpoint.value() == "p1:1");
 }
 
 TEST_CASE("the cache is used by the next engine if the first was unreachable") {
@@ -403,7 +403,9 @@
   CHECK(fixture.last().request.endpoint == Endpoint("r2:1"));
 }
 
-TEST_CASE("an engine found to be replaced by a prefill call is ejected") {
+TEST_CASE(
+    "an engine is ejected if the answer to its prefill call shows that another one has its "
+    "address") {
   GatewayFixture fixture;
   fixture.add_backend("p1", "llm", EngineRole::kPrefill);
   fixture.add_backend("d1", "llm", EngineRole::kDecode);
--- a/src/gateway/tests/stream_backup_test.cc
+++ b/src/gateway/tests/stream_backup_test.cc
@@ -175,7 +175,7 @@
   add("run", "a");
   add("copy", "a");
   StreamBackup backup = begun();
-  CHECK(backup.source().runner == Endpoint("run:1"));
+  CHECK(backup.run_reference().runner == Endpoint("run:1"));
   backup.note_event({"id: 1\n\n", 1});
   loads.of(BackendId("copy")).end(AttemptVerdict::kReplaced, now);
   CHECK(backup.obstacle({}, now) == BackupObstacle::kNotRegistered);
--- a/src/gateway/tests/waiting_requests_test.cc
+++ b/src/gateway/tests/waiting_requests_test.cc
@@ -15,21 +15,21 @@
 namespace {
 
 /// A gateway whose refreshes are completed by the test.
-struct PendingRequestFixture : GatewayFixture {
+struct WaitingRequestFixture : GatewayFixture {
   std::vector<std::function<void(bool)>> refreshes;
   int idle = 0;
-  Gateway waiting{{time, time, transport, fleet, loads, placement, budget, shares, names, engines,
-                   statistics, logger, [] { return 1U; }},
-                  [this](auto done) { refreshes.push_back(std::move(done)); }};
+  Gateway gateway_under_test{{time, time, transport, fleet, loads, placement, budget, shares, names,
+                              engines, statistics, logger, [] { return 1U; }},
+                             [this](auto done) { refreshes.push_back(std::move(done)); }};
 
-  PendingRequestFixture() {
-    waiting.on_idle([this] { ++idle; });
+  WaitingRequestFixture() {
+    gateway_under_test.on_idle([this] { ++idle; });
   }
   std::shared_ptr<FakeCaller> ask(const std::string& path, std::vector<http::Header> headers = {}) {
     headers.push_back({"host", "h"});
     headers.push_back({"x-request-id", "r1"});
     auto caller = std::make_shared<FakeCaller>();
-    waiting.handle({"POST", path, "", std::move(headers), "body"}, caller);
+    gateway_under_test.handle({"POST", path, "", std::move(headers), "body"}, caller);
     return caller;
   }
   void end_refresh(bool current) { std::exchange(refreshes, {}).at(0)(current); }
@@ -38,18 +38,18 @@
 }  // namespace
 
 TEST_CASE("a request that waits for the configuration is counted until it is answered") {
-  PendingRequestFixture fixture;
+  WaitingRequestFixture fixture;
   const auto caller = fixture.ask("/unknown/1");
-  CHECK(fixture.waiting.held().at_configuration == 1);
-  CHECK(fixture.waiting.running() == 1);
+  CHECK(fixture.gateway_under_test.held().awaiting_configuration == 1);
+  CHECK(fixture.gateway_under_test.running() == 1);
   fixture.end_refresh(true);
   CHECK(caller->head.status == 404);
-  CHECK(fixture.waiting.running() == 0);
+  CHECK(fixture.gateway_under_test.running() == 0);
   CHECK(fixture.idle == 1);
 }
 
 TEST_CASE("a request whose route exists after the refresh is sent and is counted throughout") {
-  PendingRequestFixture fixture;
+  WaitingRequestFixture fixture;
   fixture.add_backend("b", "relay");
   const auto caller = fixture.ask("/newer/1");
   Configuration newer = GatewayFixture::make_configuration(2);
@@ -58,18 +58,18 @@
   fixture.fleet.apply(std::move(newer));
   fixture.end_refresh(true);
   CHECK(fixture.idle == 0);
-  CHECK(fixture.waiting.held().at_configuration == 0);
-  CHECK(fixture.waiting.held().at_back_ends == 1);
+  CHECK(fixture.gateway_under_test.held().awaiting_configuration == 0);
+  CHECK(fixture.gateway_under_test.held().awaiting_backend == 1);
   fixture.last().answer(200, {fixture.signature()}, "done");
   CHECK(caller->body == "done");
   CHECK(fixture.idle == 1);
 }
 
 TEST_CASE("a request that waits for the configuration is dropped when its caller disconnects") {
-  PendingRequestFixture fixture;
+  WaitingRequestFixture fixture;
   const auto caller = fixture.ask("/unknown/1");
   caller->disconnect();
-  CHECK(fixture.waiting.running() == 0);
+  CHECK(fixture.gateway_under_test.running() == 0);
   CHECK(fixture.idle == 1);
   CHECK(fixture.statistics.caller_gone == 1);
   fixture.end_refresh(true);
@@ -77,8 +77,8 @@
 }
 
 TEST_CASE("a stopping node refuses requests instead of refreshing the configuration") {
-  PendingRequestFixture fixture;
-  fixture.waiting.set_shutdown_time(fixture.time.now() + 4s);
+  WaitingRequestFixture fixture;
+  fixture.gateway_under_test.set_shutdown_time(fixture.time.now() + 4s);
   const auto caller = fixture.ask("/unknown/1");
   CHECK(fixture.refreshes.empty());
   CHECK(caller->head.status == 503);
@@ -86,17 +86,17 @@
   CHECK(fixture.statistics.refused == 1);
 }
 
-TEST_CASE("when the process stops each held request is answered by whether it may have run") {
-  PendingRequestFixture fixture;
+TEST_CASE("when the process stops, the answer to each held request says whether it may have run") {
+  WaitingRequestFixture fixture;
   fixture.add_backend("b", "relay");
   const auto waiting = fixture.ask("/unknown/1");
   const auto sent = fixture.ask("/once/1");
   const auto repeatable = fixture.ask("/idempotent/1");
-  fixture.waiting.finish_all();
+  fixture.gateway_under_test.finish_all();
   CHECK(waiting->head.status == 503);
   CHECK(sent->head.status == 502);
   CHECK(repeatable->head.status == 502);
-  CHECK(fixture.waiting.running() == 0);
+  CHECK(fixture.gateway_under_test.running() == 0);
   CHECK(fixture.idle == 1);
   CHECK_FALSE(fixture.last().open);
 }
@@ -104,7 +104,7 @@
 TEST_CASE(
     "when the process stops a request in prefill is answered as not run, and a started answer is "
     "aborted") {
-  PendingRequestFixture fixture;
+  WaitingRequestFixture fixture;
   fixture.add_backend("p", "llm", EngineRole::kPrefill);
   fixture.add_backend("d", "llm", EngineRole::kDecode);
   const auto in_prefill = fixture.ask("/stream/1", {{fixture.names.prompt_parts, "a:4000"},
@@ -115,8 +115,8 @@
   fixture.last().observer->on_head(
       {200, {fixture.signature(), {"content-type", "text/event-stream"}}});
   fixture.last().observer->on_body("id: 1\ndata: x\n\n");
-  fixture.waiting.finish_all();
+  fixture.gateway_under_test.finish_all();
   CHECK(in_prefill->head.status == 503);
   CHECK(begun->aborted);
-  CHECK(fixture.waiting.running() == 0);
+  CHECK(fixture.gateway_under_test.running() == 0);
 }
--- a/src/gateway_node/gateway_node.cc
+++ b/src/gateway_node/gateway_node.cc
@@ -294,8 +294,8 @@
 std::vector<logging::Field> GatewayNode::held_fields() const {
   const gateway::HeldRequests requests = gateway_.held();
   return {{"held", static_cast<std::uint64_t>(callers_.held())},
-          {"at_configuration", static_cast<std::uint64_t>(requests.at_configuration)},
-          {"at_back_ends", static_cast<std::uint64_t>(requests.at_back_ends)},
+          {"at_configuration", static_cast<std::uint64_t>(requests.awaiting_configuration)},
+          {"at_back_ends", static_cast<std::uint64_t>(requests.awaiting_backend)},
           {"queued", static_cast<std::uint64_t>(requests.queued)}};
 }
 
--- a/src/gateway_node/node_metrics.cc
+++ b/src/gateway_node/node_metrics.cc
@@ -33,17 +33,18 @@
      &GatewayStatistics::backing_off},
     {"sends_withdrawn", "Sends kept back since the back end asked for nothing more meanwhile",
      &GatewayStatistics::withdrawn},
-    {"streams_resumed", "Streams taken up at another back end", &GatewayStatistics::resumed},
+    {"streams_resumed", "Streams taken up at another back end",
+     &GatewayStatistics::started_streams_retried},
     {"streams_replicated", "Runs sent with a backup engine",
      &GatewayStatistics::streams_replicated},
     {"streams_continued", "Broken streams sent on to their backup engine",
-     &GatewayStatistics::streams_continued},
+     &GatewayStatistics::resume_attempts},
     {"streams_continued_whole", "Continued streams answered to their end by the backup engine",
-     &GatewayStatistics::continued_whole},
+     &GatewayStatistics::resumes_completed},
     {"stream_copies_missing", "Continued streams turned away by the backup engine",
-     &GatewayStatistics::copies_missing},
+     &GatewayStatistics::resumes_refused},
     {"streams_not_continued", "Broken streams whose backup engine could not be used",
-     &GatewayStatistics::not_continued},
+     &GatewayStatistics::streams_not_resumed},
 };
 
 using discovery::FleetWatcherStatistics;
