--- a/src/admission/admission_control.cc
+++ b/src/admission/admission_control.cc
@@ -94,7 +94,7 @@
       {.backend = answer.backend, .sent = answer.sent, .statement = said.rate_limit});
   if (said.leaving) {
     note_leaving(answer.backend);
-  } else if (said.leaving_unreadable) {
+  } else if (said.leaving_malformed) {
     log("statement of leaving cannot be read", answer.backend, "answer", {});
   }
   if (said.backoff.kind != gateway::BackoffStatement::Kind::kNone) {
@@ -106,7 +106,7 @@
 
 void AdmissionControl::note_backoff(const gateway::BackendId& backend,
                                     const gateway::BackoffStatement& backoff) {
-  if (backoff.kind == gateway::BackoffStatement::Kind::kUnreadable) {
+  if (backoff.kind == gateway::BackoffStatement::Kind::kMalformed) {
     ++statistics_.backoffs_unreadable;
     log("time to back off cannot be read", backend, backoff.text, {});
     return;
@@ -147,7 +147,7 @@
   }
   ++statistics_.backoffs_told;
   const Duration believed = std::min(notice.backoff, kMostToldPause);
-  world_.loads.of(notice.backend).note_peer_backoff(world_.clock.now() + believed);
+  world_.loads.find_or_create(notice.backend).note_peer_backoff(world_.clock.now() + believed);
 }
 
 void AdmissionControl::tell_all(const std::function<void(const BackendNotice&)>& send) const {
--- a/src/admission/tests/admission_control_test.cc
+++ b/src/admission/tests/admission_control_test.cc
@@ -55,7 +55,7 @@
   }
   void hear_backoff(const char* id, Duration span) {
     gateway::BackendStatement statement;
-    statement.backoff = {.kind = Kind::kAsked, .span = span, .text = {}};
+    statement.backoff = {.kind = Kind::kRequested, .span = span, .text = {}};
     statement.not_run = true;
     admission.note_answer({gateway::BackendId(id), time.now(), statement});
   }
@@ -142,7 +142,7 @@
                   "whatever pause another node tells of, it is believed for a while") {
   for (const Duration told_pause : {Duration(-1s), Duration::max(), Duration::min()}) {
     admission.take({gateway::BackendId("a@1"), false, told_pause});
-    CHECK(loads.of(gateway::BackendId("a@1")).refusal_share(time.now() + 61s) == 0);
+    CHECK(loads.find_or_create(gateway::BackendId("a@1")).refusal_share(time.now() + 61s) == 0);
   }
 }
 
@@ -182,8 +182,8 @@
 
 TEST_CASE_FIXTURE(AdmissionFixture, "what cannot be read closes nothing") {
   gateway::BackendStatement statement;
-  statement.backoff = {.kind = Kind::kUnreadable, .span = {}, .text = "soon"};
-  statement.leaving_unreadable = true;
+  statement.backoff = {.kind = Kind::kMalformed, .span = {}, .text = "soon"};
+  statement.leaving_malformed = true;
   admission.note_answer({gateway::BackendId("a@1"), time.now(), statement});
   CHECK(has_room("a@1"));
   CHECK_FALSE(fleet.is_leaving(gateway::BackendId("a@1")));
--- a/src/admission_queue/tests/queued_request_test.cc
+++ b/src/admission_queue/tests/queued_request_test.cc
@@ -74,11 +74,11 @@
 TEST_CASE("a place that another node has freed is found without an attempt of this node's own") {
   QueueingWorld world;
   world.add_backend("b", "relay");
-  world.loads.of(BackendId("b"))
+  world.loads.find_or_create(BackendId("b"))
       .note_report({.running = 40, .waiting = 0, .slots = 8}, world.time.now());
   world.ask("/once/queued");
   REQUIRE(world.queue.waiting() == 1);
-  world.loads.of(BackendId("b"))
+  world.loads.find_or_create(BackendId("b"))
       .note_report({.running = 2, .waiting = 0, .slots = 8}, world.time.now());
   world.advance(60ms);
   CHECK(world.sends() == 1);
--- a/src/engine_profiles/engine_profile_table.cc
+++ b/src/engine_profiles/engine_profile_table.cc
@@ -146,7 +146,7 @@
     return;
   }
   double took = to_nanoseconds(observation.took) / *pace;
-  if (observation.with_first_event) {
+  if (observation.includes_first_event) {
     const auto profile = find(*backend, now);
     const gateway::EngineShape* shape = shape_of(backend->service);
     const double decoding = profile && shape != nullptr
--- a/src/engine_profiles/tests/engine_profile_table_test.cc
+++ b/src/engine_profiles/tests/engine_profile_table_test.cc
@@ -150,7 +150,7 @@
     fixture.table.note_prefill({.engine = engine_id(0),
                                 .took = 2 * token * 30'000 + kToken * kTokensPerEvent,
                                 .tokens = 30'000,
-                                .with_first_event = true},
+                                .includes_first_event = true},
                                fixture.now);
     fixture.now += milliseconds(100);
   }
--- a/src/fuzzing/targets/node_messages.cc
+++ b/src/fuzzing/targets/node_messages.cc
@@ -30,7 +30,7 @@
 void check_rate_limit(std::string_view bytes) {
   const std::string value(bytes);
   const auto rate = gateway::parse_rate(value);
-  const auto statement = gateway::read_rate_limit({{"limit", value}}, "limit");
+  const auto statement = gateway::parse_rate_limit({{"limit", value}}, "limit");
   fuzzing::require(rate.has_value() == (statement.kind == gateway::RateStatement::Kind::kLimited));
   fuzzing::require(!rate || rate->per_second() < 1e9);
 }
@@ -40,10 +40,10 @@
   const gateway::HeaderNames names;
   const std::string value(bytes);
   const auto span = gateway::parse_seconds(value);
-  const auto statement = gateway::read_statement(
+  const auto statement = gateway::parse_statement(
       {503, {{names.not_run, "1"}, {names.retry_after, value}, {names.leaving, value}}}, names);
   using Kind = gateway::BackoffStatement::Kind;
-  fuzzing::require(span.has_value() == (statement.backoff.kind == Kind::kAsked));
+  fuzzing::require(span.has_value() == (statement.backoff.kind == Kind::kRequested));
   fuzzing::require(!span || *span >= Duration::zero());
   fuzzing::require(statement.leaving == (value == "1"));
 }
--- a/src/gateway/attempt_starter.cc
+++ b/src/gateway/attempt_starter.cc
@@ -35,8 +35,8 @@
   }
   attempt.uses_cache = kind == SendKind::kRun && cache_.held();
   attempt.unread_tokens = attempt.uses_cache ? 0 : choice.prefill_tokens;
-  if (!attempt.uses_cache && choice.cache_source != nullptr) {
-    attempt.cache_source = choice.cache_source->address;
+  if (!attempt.uses_cache && choice.fetch_source != nullptr) {
+    attempt.cache_source = choice.fetch_source->address;
     ++counts.cache_fetches;
   }
   // A request that may end its server is not given a second one.
--- a/src/gateway/attempt_starter.h
+++ b/src/gateway/attempt_starter.h
@@ -33,7 +33,7 @@
 /// One request's; one loop. References outlive it.
 class AttemptStarter {
  public:
-  AttemptStarter(Environment& environment, const PromptCache& cache, StreamBackup& backup)
+  AttemptStarter(Environment& environment, const PrefillCacheHolder& cache, StreamBackup& backup)
       : environment_(environment), cache_(cache), backup_(backup) {}
 
   /// Decides what the attempt fetches, replicates and goes on with, and adds it to the server's
@@ -51,7 +51,7 @@
   std::size_t connection_share(const Service* service) const;
 
   Environment& environment_;
-  const PromptCache& cache_;
+  const PrefillCacheHolder& cache_;
   StreamBackup& backup_;
 };
 
--- a/src/gateway/backend_index.cc
+++ b/src/gateway/backend_index.cc
@@ -61,10 +61,11 @@
   return nullptr;
 }
 
-std::vector<const Backend*> BackendGroup::sample(std::size_t most, RandomSource& random,
+std::vector<const Backend*> BackendGroup::sample(std::size_t max_count, RandomSource& random,
                                                  const Accept& accept) const {
   std::vector<const Backend*> drawn;
-  for (std::size_t draws = kDrawsPerMember * most; draws != 0 && drawn.size() != most; --draws) {
+  for (std::size_t draws = kDrawsPerMember * max_count; draws != 0 && drawn.size() != max_count;
+       --draws) {
     const Bucket& bucket = buckets_[random.below(kBuckets)];
     if (bucket.empty()) {
       continue;
--- a/src/gateway/backend_index.h
+++ b/src/gateway/backend_index.h
@@ -35,8 +35,9 @@
   /// a back end moves only keys of its bucket, and with 10,000 back ends some 220 weights are
   /// computed.
   const Backend* home(std::string_view key, const Accept& accept) const;
-  /// Up to `most` distinct accepted back ends, chosen at random. May return fewer than there are.
-  std::vector<const Backend*> sample(std::size_t most, RandomSource& random,
+  /// Up to `max_count` distinct accepted back ends, chosen at random. May return fewer than there
+  /// are.
+  std::vector<const Backend*> sample(std::size_t max_count, RandomSource& random,
                                      const Accept& accept) const;
   /// All accepted back ends.
   std::vector<const Backend*> all(const Accept& accept) const;
--- a/src/gateway/backend_statement.cc
+++ b/src/gateway/backend_statement.cc
@@ -28,10 +28,10 @@
       continue;
     }
     if (const auto span = parse_seconds(header.value)) {
-      backoff.kind = BackoffStatement::Kind::kAsked;
+      backoff.kind = BackoffStatement::Kind::kRequested;
       backoff.span = std::max(backoff.span, *span);
     } else if (backoff.kind == BackoffStatement::Kind::kNone) {
-      backoff.kind = BackoffStatement::Kind::kUnreadable;
+      backoff.kind = BackoffStatement::Kind::kMalformed;
       backoff.text = header.value.substr(0, kMaxLoggedTextBytes);
     }
   }
@@ -43,7 +43,7 @@
   for (const http::Header& header : headers) {
     if (header.name == name) {
       statement.leaving = statement.leaving || header.value == kTrue;
-      statement.leaving_unreadable = statement.leaving_unreadable || header.value != kTrue;
+      statement.leaving_malformed = statement.leaving_malformed || header.value != kTrue;
     }
   }
 }
@@ -69,7 +69,7 @@
 
 /// A signed 503 comes from the application and is about one request; it requests no backoff, unless
 /// it states that the request did not run.
-BackendStatement read_statement(const http::ResponseHead& head, const HeaderNames& names) {
+BackendStatement parse_statement(const http::ResponseHead& head, const HeaderNames& names) {
   BackendStatement statement;
   statement.misdirected = head.status == kMisdirected;
   if (statement.misdirected) {
@@ -77,7 +77,7 @@
     return statement;
   }
   statement.load = parse_load(http::find_header(head.headers, names.load));
-  statement.rate_limit = read_rate_limit(head.headers, names.rate_limit);
+  statement.rate_limit = parse_rate_limit(head.headers, names.rate_limit);
   statement.not_run = !http::find_header(head.headers, names.not_run).empty();
   statement.is_signed = !http::find_header(head.headers, names.signature).empty();
   if (head.status == kUnavailable && (statement.not_run || !statement.is_signed)) {
--- a/src/gateway/backend_statement.h
+++ b/src/gateway/backend_statement.h
@@ -18,8 +18,8 @@
 struct BackoffStatement {
   enum class Kind : std::uint8_t {
     kNone,
-    kAsked,       ///< A backoff of `span` is requested.
-    kUnreadable,  ///< The header is malformed: no backoff applies.
+    kRequested,  ///< A backoff of `span` is requested.
+    kMalformed,  ///< The header is malformed: no backoff applies.
   };
   Kind kind = Kind::kNone;
   Duration span{};
@@ -31,9 +31,9 @@
   std::optional<ReportedLoad> load;
   RateStatement rate_limit;
   BackoffStatement backoff;
-  bool leaving = false;             ///< The back end will terminate soon and takes no new requests.
-  bool leaving_unreadable = false;  ///< The header has another value, which is ignored.
-  bool not_run = false;             ///< The request did not run at the back end and will not.
+  bool leaving = false;            ///< The back end will terminate soon and takes no new requests.
+  bool leaving_malformed = false;  ///< The header has another value, which is ignored.
+  bool not_run = false;            ///< The request did not run at the back end and will not.
   bool misdirected = false;  ///< Another back end answers at the address; no other header of the
                              ///< response is evaluated.
   bool is_signed = false;    ///< The back end ran the request, with or without success.
@@ -43,6 +43,6 @@
 /// else, including dates, and for more than nine digits before the point (some 30 years).
 std::optional<Duration> parse_seconds(std::string_view text);
 
-BackendStatement read_statement(const http::ResponseHead& head, const HeaderNames& names);
+BackendStatement parse_statement(const http::ResponseHead& head, const HeaderNames& names);
 
 }  // namespace ochrespring::gateway
--- a/src/gateway/cache_survey.cc
+++ b/src/gateway/cache_survey.cc
@@ -49,7 +49,7 @@
       return;
     }
     std::vector<std::uint64_t> keys;
-    for (const std::string& part : engines_.read_cached_parts(body)) {
+    for (const std::string& part : engines_.parse_cached_parts(body)) {
       keys.push_back(stable_hash(part));
     }
     loads_.note_parts(id, keys, clock_.now());
--- a/src/gateway/caller_key.cc
+++ b/src/gateway/caller_key.cc
@@ -25,7 +25,7 @@
   return digest;
 }
 
-std::optional<std::string_view> read_caller_key(std::string_view authorization) {
+std::optional<std::string_view> parse_caller_key(std::string_view authorization) {
   const std::size_t scheme_end = authorization.find(' ');
   if (scheme_end == std::string_view::npos || !is_scheme(authorization.substr(0, scheme_end))) {
     return std::nullopt;
--- a/src/gateway/caller_key.h
+++ b/src/gateway/caller_key.h
@@ -22,7 +22,7 @@
 
 /// Extracts the key from the value of an `Authorization` header with the scheme `Token` (RFC 9110,
 /// section 11.4). Returns none if the header is absent, empty or has another scheme.
-std::optional<std::string_view> read_caller_key(std::string_view authorization);
+std::optional<std::string_view> parse_caller_key(std::string_view authorization);
 
 }  // namespace ochrespring::gateway
 
--- a/src/gateway/candidates.cc
+++ b/src/gateway/candidates.cc
@@ -9,8 +9,8 @@
 
 namespace {
 
-std::string_view shared_key(const CandidateFinder::Query& query) {
-  return query.prompt == nullptr ? std::string_view() : query.prompt->shared_key();
+std::string_view shared_prefix_id(const CandidateFinder::Query& query) {
+  return query.prompt == nullptr ? std::string_view() : query.prompt->shared_prefix_id();
 }
 
 void add_once(std::vector<const Backend*>& backends, const Backend* backend) {
@@ -25,10 +25,10 @@
   return considers_all() ? full_scan(query, prefill, now) : sample(query, prefill, now);
 }
 
-bool CandidateFinder::is_avoided(const Backend& backend, MonotonicTime now) const {
+bool CandidateFinder::is_last_resort(const Backend& backend, MonotonicTime now) const {
   const BackendLoad* load = loads_.find(backend.id);
-  const bool avoided = load != nullptr && (load->ejected(now) || load->mostly_refuses(now));
-  return avoided || fleet_.is_distrusted(backend.id, now);
+  const bool unhealthy = load != nullptr && (load->ejected(now) || load->mostly_refuses(now));
+  return unhealthy || fleet_.is_distrusted(backend.id, now);
 }
 
 bool CandidateFinder::is_eligible(const Backend& backend, const Query& query,
@@ -48,11 +48,11 @@
         !is_eligible(backend, query, now)) {
       continue;
     }
-    (is_avoided(backend, now) ? others : healthy).backends.push_back(&backend);
+    (is_last_resort(backend, now) ? others : healthy).backends.push_back(&backend);
   }
   Candidates chosen = healthy.backends.empty() ? std::move(others) : std::move(healthy);
-  if (!shared_key(query).empty()) {
-    chosen.home = rendezvous_choice(chosen.backends, shared_key(query),
+  if (!shared_prefix_id(query).empty()) {
+    chosen.home = rendezvous_choice(chosen.backends, shared_prefix_id(query),
                                     [](const Backend& /*any*/) { return true; });
   }
   return chosen;
@@ -66,7 +66,7 @@
   }
   const auto allowed = [&](const Backend& backend) { return is_eligible(backend, query, now); };
   const auto healthy = [&](const Backend& backend) {
-    return allowed(backend) && !is_avoided(backend, now);
+    return allowed(backend) && !is_last_resort(backend, now);
   };
   if (query.prompt == nullptr && group->size() <= kFullScanLimit) {
     chosen.backends = group->all(healthy);
@@ -79,8 +79,8 @@
       add_once(chosen.backends, holder);
     }
   }
-  if (!shared_key(query).empty()) {
-    chosen.home = group->home(shared_key(query), healthy);
+  if (!shared_prefix_id(query).empty()) {
+    chosen.home = group->home(shared_prefix_id(query), healthy);
   }
   if (chosen.home != nullptr) {
     add_once(chosen.backends, chosen.home);
--- a/src/gateway/candidates.h
+++ b/src/gateway/candidates.h
@@ -59,7 +59,7 @@
   Candidates sample(const Query& query, bool prefill, MonotonicTime now) const;
   /// Whether the back end is ejected, refuses most requests, or is distrusted: used only if there
   /// is no alternative.
-  bool is_avoided(const Backend& backend, MonotonicTime now) const;
+  bool is_last_resort(const Backend& backend, MonotonicTime now) const;
   /// Whether the request may be sent to the back end at all.
   bool is_eligible(const Backend& backend, const Query& query, MonotonicTime now) const;
 
--- a/src/gateway/claimed_send.h
+++ b/src/gateway/claimed_send.h
@@ -19,7 +19,7 @@
   static ClaimedSend of(const PlacementChoice& choice, SendKind kind) {
     return {.backend = choice.backend->id,
             .unread_tokens = choice.prefill_tokens,
-            .cache_source = choice.cache_source != nullptr ? choice.cache_source->id : BackendId(),
+            .cache_source = choice.fetch_source != nullptr ? choice.fetch_source->id : BackendId(),
             .kind = kind};
   }
 };
--- a/src/gateway/engine_observer.h
+++ b/src/gateway/engine_observer.h
@@ -27,7 +27,7 @@
   std::uint64_t tokens = 0;  ///< Prefilled for this request.
   std::uint64_t tokens_ahead =
       0;  ///< Pending prefill tokens of other prompts when the request was sent.
-  bool with_first_event = false;  ///< `took` includes the decoding of one event.
+  bool includes_first_event = false;  ///< `took` includes the decoding of one event.
 };
 
 /// Receives observations, on the event loop of the requests. Observations of unregistered engines
--- a/src/gateway/fleet_state.cc
+++ b/src/gateway/fleet_state.cc
@@ -6,10 +6,11 @@
 
 namespace ochrespring::gateway {
 
-bool FleetState::apply(Configuration configuration, bool reissued) {
+bool FleetState::apply(Configuration configuration, bool same_version_allowed) {
   if (routes_) {
     const ConfigurationVersion in_force = routes_->configuration().version;
-    if (configuration.version < in_force || (configuration.version == in_force && !reissued)) {
+    if (configuration.version < in_force ||
+        (configuration.version == in_force && !same_version_allowed)) {
       return false;
     }
   }
--- a/src/gateway/fleet_state.h
+++ b/src/gateway/fleet_state.h
@@ -19,9 +19,9 @@
 
 class FleetState {
  public:
-  /// Applies a configuration if it is newer than the active one or, if `reissued`, has the same
-  /// version; returns whether it was applied.
-  bool apply(Configuration configuration, bool reissued = false);
+  /// Applies a configuration if it is newer than the active one or, if `same_version_allowed`, has
+  /// the same version; returns whether it was applied.
+  bool apply(Configuration configuration, bool same_version_allowed = false);
   /// Adds or replaces a back end; returns whether anything changed.
   bool put(Backend backend);
   /// Removes a back end; returns whether it was known.
--- a/src/gateway/header_rules.cc
+++ b/src/gateway/header_rules.cc
@@ -10,24 +10,24 @@
 namespace {
 
 /// Connection headers (RFC 9110, section 7.6.1) and headers of HTTP/1.1 framing.
-constexpr std::array<std::string_view, 10> kConnectionHeaders{"connection",
-                                                              "keep-alive",
-                                                              "proxy-connection",
-                                                              "proxy-authenticate",
-                                                              "proxy-authorization",
-                                                              "te",
-                                                              "trailer",
-                                                              "transfer-encoding",
-                                                              "upgrade",
-                                                              "content-length"};
+constexpr std::array<std::string_view, 10> kConnectionAndFramingHeaders{"connection",
+                                                                        "keep-alive",
+                                                                        "proxy-connection",
+                                                                        "proxy-authenticate",
+                                                                        "proxy-authorization",
+                                                                        "te",
+                                                                        "trailer",
+                                                                        "transfer-encoding",
+                                                                        "upgrade",
+                                                                        "content-length"};
 
-bool is_connection_header(std::string_view name) {
-  return std::find(kConnectionHeaders.begin(), kConnectionHeaders.end(), name) !=
-         kConnectionHeaders.end();
+bool is_connection_or_framing_header(std::string_view name) {
+  return std::find(kConnectionAndFramingHeaders.begin(), kConnectionAndFramingHeaders.end(),
+                   name) != kConnectionAndFramingHeaders.end();
 }
 
 /// Whether the comma-separated `list` contains `name`, ignoring case.
-bool lists(std::string_view list, std::string_view name) {
+bool list_contains(std::string_view list, std::string_view name) {
   const auto same = [](unsigned char left, unsigned char right) {
     return std::tolower(left) == std::tolower(right);
   };
@@ -46,7 +46,7 @@
 
 bool named_by_connection(const std::vector<http::Header>& headers, std::string_view name) {
   return std::any_of(headers.begin(), headers.end(), [&](const http::Header& header) {
-    return header.name == "connection" && lists(header.value, name);
+    return header.name == "connection" && list_contains(header.value, name);
   });
 }
 
@@ -59,7 +59,7 @@
   for (const http::Header& header : headers) {
     const bool reserved = std::find(names.reserved.begin(), names.reserved.end(), header.name) !=
                           names.reserved.end();
-    if (!reserved && header.name != "expect" && !is_connection_header(header.name) &&
+    if (!reserved && header.name != "expect" && !is_connection_or_framing_header(header.name) &&
         !named_by_connection(headers, header.name)) {
       passed.push_back(header);
     }
@@ -71,7 +71,8 @@
   std::vector<http::Header> passed;
   passed.reserve(headers.size());
   for (const http::Header& header : headers) {
-    if (!is_connection_header(header.name) && !named_by_connection(headers, header.name)) {
+    if (!is_connection_or_framing_header(header.name) &&
+        !named_by_connection(headers, header.name)) {
       passed.push_back(header);
     }
   }
--- a/src/gateway/load_table.cc
+++ b/src/gateway/load_table.cc
@@ -19,14 +19,14 @@
 constexpr double kMaxSlowness = 10;
 constexpr double kMinSlowness = 0.1;
 /// Half-life of the counts of failures, attempts and refusals.
-constexpr Duration kFailureHalfLife = seconds(3);
+constexpr Duration kOutcomeHalfLife = seconds(3);
 /// Virtual successful attempts added to the counts, so that a single failure does not exclude a
 /// back end.
 constexpr double kPriorAttempts = 2;
 /// Upper bound of the attempt count; bounds the time until a recovery shows.
-constexpr double kMaxAttempts = 12;
+constexpr double kMaxCountedAttempts = 12;
 constexpr Duration kFirstEjection = milliseconds(1000);
-constexpr std::uint32_t kMaxDoublings = 2;
+constexpr std::uint32_t kMaxEjectionDoublings = 2;
 /// Covers the heartbeat intervals for which the store still lists a terminated back end.
 constexpr Duration kReplacedEjection = seconds(6);
 /// A response this recent overrides another node's report that the back end is unresponsive.
@@ -107,7 +107,7 @@
       replaced_until_ = ejected_until_;
       break;
     case AttemptOutcome::kRefused:
-      refusals_ = std::min(refusals_ + 1, kMaxAttempts);
+      refusals_ = std::min(refusals_ + 1, kMaxCountedAttempts);
       break;
     case AttemptOutcome::kNotSent:
     case AttemptOutcome::kAbandoned:
@@ -116,7 +116,8 @@
 }
 
 void BackendLoad::note_unresponsive(MonotonicTime now) {
-  ejected_until_ = now + kFirstEjection * (1U << std::min(unreachable_in_row_, kMaxDoublings));
+  ejected_until_ =
+      now + kFirstEjection * (1U << std::min(unreachable_in_row_, kMaxEjectionDoublings));
   ++unreachable_in_row_;
 }
 
@@ -161,12 +162,12 @@
 }
 
 double BackendLoad::failure_share(MonotonicTime now) const {
-  const double weight = decay_factor(now - decayed_at_, kFailureHalfLife);
+  const double weight = decay_factor(now - decayed_at_, kOutcomeHalfLife);
   return failures_ * weight / (attempts_ * weight + kPriorAttempts);
 }
 
 double BackendLoad::own_refusal_share(MonotonicTime now) const {
-  const double weight = decay_factor(now - decayed_at_, kFailureHalfLife);
+  const double weight = decay_factor(now - decayed_at_, kOutcomeHalfLife);
   return refusals_ * weight / ((attempts_ + refusals_) * weight + kPriorAttempts);
 }
 
@@ -184,14 +185,14 @@
 void BackendLoad::count_outcomes(double ended, double failed) {
   attempts_ += ended;
   failures_ += failed;
-  if (attempts_ > kMaxAttempts) {
-    failures_ *= kMaxAttempts / attempts_;
-    attempts_ = kMaxAttempts;
+  if (attempts_ > kMaxCountedAttempts) {
+    failures_ *= kMaxCountedAttempts / attempts_;
+    attempts_ = kMaxCountedAttempts;
   }
 }
 
 void BackendLoad::decay(MonotonicTime now) {
-  const double weight = decay_factor(now - decayed_at_, kFailureHalfLife);
+  const double weight = decay_factor(now - decayed_at_, kOutcomeHalfLife);
   failures_ *= weight;
   attempts_ *= weight;
   refusals_ *= weight;
@@ -285,7 +286,7 @@
 }
 
 void LoadTable::note_cached(const BackendId& id, std::uint64_t part_key, MonotonicTime now) {
-  if (of(id).note_cached(part_key, now)) {
+  if (find_or_create(id).note_cached(part_key, now)) {
     index_part(id, part_key, now);
   }
 }
@@ -307,16 +308,17 @@
   prune_holders_at_ = std::max(kMinIndexPruneSize, 2 * holder_entries_);
 }
 
-std::vector<BackendId> LoadTable::holders(std::uint64_t part_key, std::size_t most,
+std::vector<BackendId> LoadTable::holders(std::uint64_t part_key, std::size_t max_count,
                                           MonotonicTime now, RandomSource& random) const {
   const auto found = holders_.find(part_key);
-  if (found == holders_.end() || most == 0) {
+  if (found == holders_.end() || max_count == 0) {
     return {};
   }
   const std::vector<BackendId>& all = found->second;
-  const std::size_t begin = all.size() > most ? random.below(all.size()) : 0;
+  const std::size_t begin = all.size() > max_count ? random.below(all.size()) : 0;
   std::vector<BackendId> chosen;
-  for (std::size_t i = 0; i != all.size() && i != kMaxHoldersTried && chosen.size() != most; ++i) {
+  for (std::size_t i = 0; i != all.size() && i != kMaxHoldersTried && chosen.size() != max_count;
+       ++i) {
     const BackendId& id = all[(begin + i) % all.size()];
     const BackendLoad* load = find(id);
     const bool known = std::find(chosen.begin(), chosen.end(), id) != chosen.end();
@@ -328,7 +330,7 @@
 }
 
 void LoadTable::begin(const BackendId& id, std::uint64_t prefill_tokens) {
-  of(id).begin(prefill_tokens);
+  find_or_create(id).begin(prefill_tokens);
   changed(id);
 }
 
@@ -346,8 +348,9 @@
     return;
   }
   load->end(outcome, now);
-  if (ended_ && (outcome == AttemptOutcome::kSucceeded || outcome == AttemptOutcome::kFailed)) {
-    ended_(id, outcome == AttemptOutcome::kFailed);
+  if (attempt_ended_callback_ &&
+      (outcome == AttemptOutcome::kSucceeded || outcome == AttemptOutcome::kFailed)) {
+    attempt_ended_callback_(id, outcome == AttemptOutcome::kFailed);
   }
   changed(id);
   const bool terminated_or_unreachable =
@@ -385,8 +388,8 @@
 }
 
 void LoadTable::changed(const BackendId& id) const {
-  if (changed_) {
-    changed_(id);
+  if (workload_changed_callback_) {
+    workload_changed_callback_(id);
   }
 }
 
--- a/src/gateway/load_table.h
+++ b/src/gateway/load_table.h
@@ -150,7 +150,7 @@
 /// Load and health of all back ends that one node knows.
 class LoadTable {
  public:
-  BackendLoad& of(const BackendId& id) { return loads_[id]; }
+  BackendLoad& find_or_create(const BackendId& id) { return loads_[id]; }
   const BackendLoad* find(const BackendId& id) const;
   const std::map<BackendId, BackendLoad>& all() const { return loads_; }
   void forget(const BackendId& id) { loads_.erase(id); }
@@ -176,24 +176,26 @@
   void forget_prompt(const BackendId& id, const Prompt& prompt, MonotonicTime sent);
   /// Records one part that a back end has cached, as another node reports.
   void note_cached(const BackendId& id, std::uint64_t part_key, MonotonicTime now);
-  /// Back ends that are assumed to have a part cached: all if there are at most `most`, otherwise a
-  /// random selection of `most`.
-  std::vector<BackendId> holders(std::uint64_t part_key, std::size_t most, MonotonicTime now,
+  /// Back ends that are assumed to have a part cached: all if there are at max_count `max_count`,
+  /// otherwise a random selection of `max_count`.
+  std::vector<BackendId> holders(std::uint64_t part_key, std::size_t max_count, MonotonicTime now,
                                  RandomSource& random) const;
   /// Records cached parts by their keys.
   void note_parts(const BackendId& id, const std::vector<std::uint64_t>& keys, MonotonicTime now);
   /// Sets the callback for parts that a back end prefills or is found to have cached.
-  void on_prompt(
+  void on_parts_cached(
       std::function<void(const BackendId&, const std::vector<std::uint64_t>&)> callback) {
     parts_cached_callback_ = std::move(callback);
   }
 
   /// Sets the callback for attempts that ended in success or failure.
   void on_end(std::function<void(const BackendId&, bool failed)> callback) {
-    ended_ = std::move(callback);
+    attempt_ended_callback_ = std::move(callback);
   }
   /// Sets the callback for changes of this node's own workload at a back end.
-  void on_change(std::function<void(const BackendId&)> callback) { changed_ = std::move(callback); }
+  void on_change(std::function<void(const BackendId&)> callback) {
+    workload_changed_callback_ = std::move(callback);
+  }
   /// Source of the workload of other nodes; null: there is none.
   void set_peers(const PeerView* peers) { peers_ = peers; }
   /// This node's own workload at a back end.
@@ -216,9 +218,9 @@
   std::size_t holder_entries_ = 0;
   /// Number of entries that triggers a rebuild of the index.
   std::size_t prune_holders_at_ = kMinIndexPruneSize;
-  std::function<void(const BackendId&)> changed_;
+  std::function<void(const BackendId&)> workload_changed_callback_;
   std::function<void(const BackendId&)> unresponsive_callback_;
-  std::function<void(const BackendId&, bool)> ended_;
+  std::function<void(const BackendId&, bool)> attempt_ended_callback_;
   std::function<void(const BackendId&, const std::vector<std::uint64_t>&)> parts_cached_callback_;
   const PeerView* peers_ = nullptr;
 };
--- a/src/gateway/placement.cc
+++ b/src/gateway/placement.cc
@@ -31,7 +31,7 @@
 constexpr double kEventsOfLongStream = 36;
 /// Relative prefill times that differ from 1 by less are ignored: estimates for identical engines
 /// nearly always stay within a fifth of their median.
-constexpr double kSpeedNoise = 0.3;
+constexpr double kPrefillTimeNoise = 0.3;
 /// Cost in tokens of certain refusal: the request needs a retry, which the retry budget may not
 /// allow.
 constexpr double kTokensPerRefusal = 40'000;
@@ -51,7 +51,7 @@
 /// Extra cost of prefilling a shared part again, relative to its tokens: it takes engine time and
 /// cache memory from other requests. Scaled by the contention at the prefill engines, see
 /// kBusyPrefillFactor.
-constexpr double kExtraColdCost = 1.5;
+constexpr double kExtraReprefillCost = 1.5;
 /// Full contention is reached when half of the prefill engines have pending work. While they are
 /// idle, a cold prompt of 17,000 tokens is prefilled there in 0.5 s; at full extra cost it went to
 /// an engine that also decodes, at half the speed.
@@ -67,7 +67,7 @@
 constexpr double kOrdinaryFailureCost = 6;
 /// Cost of certain refusal for an ordinary service, in requests per slot.
 constexpr double kOrdinaryRefusalCost = 3;
-constexpr double kTieBreak = 0.02;
+constexpr double kMaxRandomCostFactor = 0.02;
 /// Requests per slot that may wait at a back end of an ordinary service, so that it has work until
 /// the gateway learns of a free slot.
 constexpr double kOrdinaryQueuePerSlot = 0.5;
@@ -93,7 +93,7 @@
   if (request.fewest_requests_only) {
     PlacementPlan plan;
     plan.runner = cheapest(finder_.find(query, false, now).backends, [&](const Backend& backend) {
-      return PlacementChoice{.cost = 1 + work_at(backend, now).requests};
+      return PlacementChoice{.cost = 1 + workload_at(backend, now).requests};
     });
     return plan;
   }
@@ -114,11 +114,11 @@
                                    ? CacheSources(fleet_, loads_, request.service, prompt, now)
                                    : CacheSources(query.holders, loads_, prompt, now);
   const Candidates runners = finder_.find(query, false, now);
-  const PromptView at_runners{.prompt = prompt,
-                              .sources = sources,
-                              .request = request,
-                              .home = runners.home,
-                              .unsuited_share = unsuited_share(runners.backends, request, now)};
+  const PromptContext at_runners{.prompt = prompt,
+                                 .sources = sources,
+                                 .request = request,
+                                 .home = runners.home,
+                                 .unsuited_share = unsuited_share(runners.backends, request, now)};
   PlacementPlan direct;
   direct.runner = cheapest(runners.backends, [&](const Backend& backend) {
     return estimate_runner(backend, at_runners, nullptr, now);
@@ -129,11 +129,11 @@
   const Candidates prefill_engines = finder_.find(query, true, now);
   const double contention =
       std::min(1.0, kBusyPrefillFactor * busy_share(prefill_engines.backends, now));
-  const PromptView at_prefill_engines{.prompt = prompt,
-                                      .sources = sources,
-                                      .request = request,
-                                      .home = prefill_engines.home,
-                                      .cold_cost = kExtraColdCost * contention};
+  const PromptContext at_prefill_engines{.prompt = prompt,
+                                         .sources = sources,
+                                         .request = request,
+                                         .home = prefill_engines.home,
+                                         .reprefill_cost = kExtraReprefillCost * contention};
   PlacementPlan split;
   split.prefill = cheapest(prefill_engines.backends, [&](const Backend& backend) {
     return estimate_prefill(backend, at_prefill_engines, now);
@@ -184,8 +184,8 @@
 
 bool Placement::has_free_slot(const Backend& backend, bool engine, MonotonicTime now) const {
   const double slots = std::max<double>(backend.slots, 1);
-  const double window = engine ? 0 : std::max(1.0, kOrdinaryQueuePerSlot * slots);
-  return work_at(backend, now).requests < slots + window;
+  const double allowed_queue = engine ? 0 : std::max(1.0, kOrdinaryQueuePerSlot * slots);
+  return workload_at(backend, now).requests < slots + allowed_queue;
 }
 
 /// Allows up to half of the target latency as waiting time in any case: otherwise a prompt whose
@@ -193,7 +193,7 @@
 bool Placement::prefills_in_time(const Backend& engine, std::uint64_t tokens,
                                  const CapacityQuery& query, MonotonicTime now) const {
   const auto profile = query.profiles != nullptr ? query.profiles->find(engine, now) : std::nullopt;
-  const double ahead = work_at(engine, now).pending_prefill_tokens;
+  const double ahead = workload_at(engine, now).pending_prefill_tokens;
   if (!profile || ahead <= 0) {
     return true;
   }
@@ -211,7 +211,7 @@
   for (const Backend* backend : backends) {
     PlacementChoice choice = estimate(*backend);
     choice.backend = backend;
-    choice.cost *= (backend->cold ? kColdBackendCost : 1) + kTieBreak * random_.unit();
+    choice.cost *= (backend->cold ? kColdBackendCost : 1) + kMaxRandomCostFactor * random_.unit();
     if (best.backend == nullptr || choice.cost < best.cost) {
       best = choice;
     }
@@ -221,51 +221,54 @@
 
 double Placement::busy_share(const Backends& engines, MonotonicTime now) const {
   const auto busy = std::count_if(engines.begin(), engines.end(), [&](const Backend* engine) {
-    return work_at(*engine, now).pending_prefill_tokens != 0;
+    return workload_at(*engine, now).pending_prefill_tokens != 0;
   });
   return engines.empty() ? 0 : static_cast<double>(busy) / static_cast<double>(engines.size());
 }
 
-PlacementChoice Placement::estimate_runner(const Backend& backend, const PromptView& view,
+PlacementChoice Placement::estimate_runner(const Backend& backend,
+                                           const PromptContext& prompt_context,
                                            const Backend* prefill_engine, MonotonicTime now) const {
   const BackendLoad& load = load_of(backend);
-  const Work work = work_at(backend, now);
+  const TotalWorkload work = workload_at(backend, now);
   PlacementChoice choice;
   if (prefill_engine != nullptr) {
     const double distance = prefill_engine->zone == backend.zone ? 1 : kOtherZoneTransfer;
-    choice.cost =
-        kHandOverTokens + distance * kTransferCost * static_cast<double>(view.prompt.tokens);
+    choice.cost = kHandOverTokens +
+                  distance * kTransferCost * static_cast<double>(prompt_context.prompt.tokens);
   } else {
-    const PrefillWork prefill_work = prefill_work_at(backend, view, now);
+    const PrefillWork prefill_work = prefill_work_at(backend, prompt_context, now);
     choice.prefill_tokens = prefill_work.prefill_tokens;
-    choice.cache_source = prefill_work.cache_source;
+    choice.fetch_source = prefill_work.fetch_source;
     choice.cost =
         fetch_cost(prefill_work.fetched_tokens) +
         kRunnerPrefillCost * load.slowness(now) *
             (static_cast<double>(prefill_work.prefill_tokens) + work.pending_prefill_tokens) *
             (1 + kSlowdownPerStream * work.requests);
   }
-  choice.cost += stream_cost(backend, view, work, choice.prefill_tokens, now);
-  choice.cost += connection_cost(backend, view.request) + kTokensPerRunning * work.requests +
-                 kTokensPerWaiting * load.reported_waiting(now) +
-                 kTokensPerFailure * load.failure_share(now) +
-                 kTokensPerRefusal * load.refusal_share(now);
+  choice.cost += stream_cost(backend, prompt_context, work, choice.prefill_tokens, now);
+  choice.cost +=
+      connection_cost(backend, prompt_context.request) + kTokensPerRunning * work.requests +
+      kTokensPerWaiting * load.reported_waiting(now) + kTokensPerFailure * load.failure_share(now) +
+      kTokensPerRefusal * load.refusal_share(now);
   return choice;
 }
 
-PlacementChoice Placement::estimate_prefill(const Backend& backend, const PromptView& view,
+PlacementChoice Placement::estimate_prefill(const Backend& backend,
+                                            const PromptContext& prompt_context,
                                             MonotonicTime now) const {
   const BackendLoad& load = load_of(backend);
-  const PrefillWork prefill_work = prefill_work_at(backend, view, now);
+  const PrefillWork prefill_work = prefill_work_at(backend, prompt_context, now);
   PlacementChoice choice;
   choice.prefill_tokens = prefill_work.prefill_tokens;
-  choice.cache_source = prefill_work.cache_source;
-  const double missing = static_cast<double>(choice.prefill_tokens - view.prompt.own_tokens());
-  choice.cost = connection_cost(backend, view.request) + fetch_cost(prefill_work.fetched_tokens) +
-                view.cold_cost * missing +
-                load.slowness(now) * relative_prefill_time(backend, view.request, now) *
+  choice.fetch_source = prefill_work.fetch_source;
+  const double missing =
+      static_cast<double>(choice.prefill_tokens - prompt_context.prompt.own_tokens());
+  choice.cost = connection_cost(backend, prompt_context.request) +
+                fetch_cost(prefill_work.fetched_tokens) + prompt_context.reprefill_cost * missing +
+                load.slowness(now) * relative_prefill_time(backend, prompt_context.request, now) *
                     (static_cast<double>(choice.prefill_tokens) +
-                     work_at(backend, now).pending_prefill_tokens) +
+                     workload_at(backend, now).pending_prefill_tokens) +
                 kTokensPerFailure * load.failure_share(now) +
                 kTokensPerRefusal * load.refusal_share(now);
   return choice;
@@ -281,8 +284,8 @@
   if (!own || !usual || own->prompt_token.count() == 0 || usual->prompt_token.count() == 0) {
     return 1;
   }
-  const double speed = to_seconds(own->prompt_token) / to_seconds(usual->prompt_token);
-  return std::abs(speed - 1) < kSpeedNoise ? 1 : speed;
+  const double relative_time = to_seconds(own->prompt_token) / to_seconds(usual->prompt_token);
+  return std::abs(relative_time - 1) < kPrefillTimeNoise ? 1 : relative_time;
 }
 
 std::optional<GapForecast> Placement::forecast_at(const Backend& backend,
@@ -308,15 +311,16 @@
   return engines.empty() ? 0 : static_cast<double>(unsuited) / static_cast<double>(engines.size());
 }
 
-double Placement::stream_cost(const Backend& backend, const PromptView& view, const Work& work,
-                              std::uint64_t prefill_tokens, MonotonicTime now) const {
-  const auto known = forecast_at(backend, view.request, now);
+double Placement::stream_cost(const Backend& backend, const PromptContext& prompt_context,
+                              const TotalWorkload& work, std::uint64_t prefill_tokens,
+                              MonotonicTime now) const {
+  const auto known = forecast_at(backend, prompt_context.request, now);
   if (!known) {
     return 0;
   }
   const GapForecast& forecast = *known;
   const EngineProfile& profile = forecast.profile();
-  const StreamRequirements& needs = *view.request.stream;
+  const StreamRequirements& needs = *prompt_context.request.stream;
   const double pending = work.pending_prefill_tokens;
   const double made_late =
       prefill_tokens == 0
@@ -328,25 +332,25 @@
          kTokensPerFailure * forecast.missed_deadline_probability(needs) +
          kTokensPerLateStream * profile.long_streams * std::max(0.0, made_late) +
          slot_cost(backend, work, profile, forecast) +
-         scarce_slot_cost(backend, view, work, forecast);
+         scarce_slot_cost(backend, prompt_context, work, forecast);
 }
 
 /// Grows with the share of occupied slots: while few are occupied, a short stream ends before its
 /// slot is needed.
-double Placement::scarce_slot_cost(const Backend& backend, const PromptView& view, const Work& work,
-                                   const GapForecast& forecast) const {
-  const StreamRequirements& needs = *view.request.stream;
-  if (view.unsuited_share == 0 || needs.expected_events >= kMinLongStreamEvents ||
+double Placement::scarce_slot_cost(const Backend& backend, const PromptContext& prompt_context,
+                                   const TotalWorkload& work, const GapForecast& forecast) const {
+  const StreamRequirements& needs = *prompt_context.request.stream;
+  if (prompt_context.unsuited_share == 0 || needs.expected_events >= kMinLongStreamEvents ||
       !forecast.suits_long_streams(needs.min_target_gap)) {
     return 0;
   }
   const double taken = std::min(1.0, (work.requests + 1) / std::max<double>(backend.slots, 1));
-  return kTokensPerLateStream * view.unsuited_share * taken * taken;
+  return kTokensPerLateStream * prompt_context.unsuited_share * taken * taken;
 }
 
 /// Cost of waiting for a slot, which long streams occupy for seconds.
-double Placement::slot_cost(const Backend& backend, const Work& work, const EngineProfile& profile,
-                            const GapForecast& forecast) const {
+double Placement::slot_cost(const Backend& backend, const TotalWorkload& work,
+                            const EngineProfile& profile, const GapForecast& forecast) const {
   const double over = work.requests + 1 - std::max<double>(backend.slots, 1);
   if (over <= 0 || profile.prompt_token.count() == 0) {
     return 0;
@@ -357,12 +361,13 @@
   return wait / to_seconds(profile.prompt_token);
 }
 
-Placement::PrefillWork Placement::prefill_work_at(const Backend& backend, const PromptView& view,
+Placement::PrefillWork Placement::prefill_work_at(const Backend& backend,
+                                                  const PromptContext& prompt_context,
                                                   MonotonicTime now) const {
   const BackendLoad& load = load_of(backend);
-  const std::uint64_t shared = view.prompt.shared_tokens();
+  const std::uint64_t shared = prompt_context.prompt.shared_tokens();
   std::uint64_t cached = 0;
-  for (const PromptPart& part : view.prompt.parts) {
+  for (const PromptPart& part : prompt_context.prompt.parts) {
     // A cached part is usable only if all parts before it are cached.
     if (!load.holds(part.key, now)) {
       break;
@@ -371,24 +376,25 @@
   }
   cached = std::min(cached, shared);
   PrefillWork prefill_work;
-  const std::uint64_t fetchable = std::min(view.sources.tokens_for(backend), shared);
+  const std::uint64_t fetchable = std::min(prompt_context.sources.tokens_for(backend), shared);
   if (fetchable >= cached + kMinFetchTokens) {
-    prefill_work.cache_source = view.sources.best_for(backend);
+    prefill_work.fetch_source = prompt_context.sources.best_for(backend);
     prefill_work.fetched_tokens = fetchable - cached;
     cached = fetchable;
   }
   double missing = static_cast<double>(shared - cached);
-  if (&backend == view.home) {
+  if (&backend == prompt_context.home) {
     missing *= kHomeMissingShare;
   }
-  prefill_work.prefill_tokens = static_cast<std::uint64_t>(missing) + view.prompt.own_tokens();
+  prefill_work.prefill_tokens =
+      static_cast<std::uint64_t>(missing) + prompt_context.prompt.own_tokens();
   return prefill_work;
 }
 
 PlacementChoice Placement::estimate_ordinary(const Backend& backend, MonotonicTime now) const {
   const BackendLoad& load = load_of(backend);
   PlacementChoice choice;
-  choice.cost = load.slowness(now) * (1 + work_at(backend, now).requests) /
+  choice.cost = load.slowness(now) * (1 + workload_at(backend, now).requests) /
                     std::max<double>(backend.slots, 1) +
                 (backend.zone == zone_ ? 0 : kOtherZoneCost) +
                 kOrdinaryFailureCost * load.failure_share(now) +
@@ -398,12 +404,12 @@
 
 /// The workload that other nodes report is exact; a back end's own load report is used where it
 /// shows more, as when messages of a node do not arrive.
-Placement::Work Placement::work_at(const Backend& backend, MonotonicTime now) const {
+Placement::TotalWorkload Placement::workload_at(const Backend& backend, MonotonicTime now) const {
   const BackendLoad& load = load_of(backend);
   const EngineWorkload peers = loads_.others(backend.id, now);
   const double reported = load.reported_others(now);
   const double unreported = std::max(0.0, reported - peers.requests);
-  Work work;
+  TotalWorkload work;
   work.requests = load.in_flight() + peers.requests + unreported;
   work.pending_prefill_tokens =
       static_cast<double>(load.pending_prefill_tokens() + peers.pending_prefill_tokens);
--- a/src/gateway/placement.h
+++ b/src/gateway/placement.h
@@ -43,7 +43,7 @@
   const Backend* backend = nullptr;  ///< Null: no back end may take the request.
   std::uint64_t prefill_tokens = 0;  ///< Of the prompt, to be prefilled there.
   /// Has cached shared parts that are worth fetching first.
-  const Backend* cache_source = nullptr;
+  const Backend* fetch_source = nullptr;
   double cost = 0;  ///< In prefill tokens, or in requests per slot.
 };
 
@@ -93,54 +93,55 @@
   /// Share of these engines that have pending prefill work, 0 to 1.
   double busy_share(const Backends& engines, MonotonicTime now) const;
   /// A prompt, its home, and the engines that have its shared parts cached.
-  struct PromptView {
+  struct PromptContext {
     const Prompt& prompt;
     const CacheSources& sources;
     const PlacementRequest& request;
     const Backend* home = nullptr;
     /// Cost per token of a shared part that is prefilled again, in addition to the time.
-    double cold_cost = 0;
+    double reprefill_cost = 0;
     /// Share of the engines, 0 to 1, that cannot keep the target gap of long streams.
     double unsuited_share = 0;
   };
   /// Cost of prefilling and running the prompt at `backend`, or, with a `prefill_engine`, of
   /// transferring the cache from there and only running it.
-  PlacementChoice estimate_runner(const Backend& backend, const PromptView& view,
+  PlacementChoice estimate_runner(const Backend& backend, const PromptContext& prompt_context,
                                   const Backend* prefill_engine, MonotonicTime now) const;
-  PlacementChoice estimate_prefill(const Backend& backend, const PromptView& view,
+  PlacementChoice estimate_prefill(const Backend& backend, const PromptContext& prompt_context,
                                    MonotonicTime now) const;
   PlacementChoice estimate_ordinary(const Backend& backend, MonotonicTime now) const;
   /// Tokens of a prompt that an engine has to prefill and to fetch.
   struct PrefillWork {
     std::uint64_t prefill_tokens = 0;
     std::uint64_t fetched_tokens = 0;
-    const Backend* cache_source = nullptr;  ///< Null: there is nothing worth fetching.
+    const Backend* fetch_source = nullptr;  ///< Null: there is nothing worth fetching.
   };
-  PrefillWork prefill_work_at(const Backend& backend, const PromptView& view,
+  PrefillWork prefill_work_at(const Backend& backend, const PromptContext& prompt_context,
                               MonotonicTime now) const;
   const BackendLoad& load_of(const Backend& backend) const;
   /// Requests and pending prefill tokens of all nodes at a back end.
-  struct Work {
+  struct TotalWorkload {
     double requests = 0;
     double pending_prefill_tokens = 0;
   };
-  Work work_at(const Backend& backend, MonotonicTime now) const;
+  TotalWorkload workload_at(const Backend& backend, MonotonicTime now) const;
   /// Time that a prefill engine takes per token, relative to the median of its service. Not used
   /// for engines that also decode: it would move prompts to the fast ones, which long streams need.
   double relative_prefill_time(const Backend& backend, const PlacementRequest& request,
                                MonotonicTime now) const;
   /// Predicted cost of a stream at an engine, in prefill tokens: its own lateness, the lateness of
   /// streams that its prefill delays, and its wait for a slot.
-  double stream_cost(const Backend& backend, const PromptView& view, const Work& work,
-                     std::uint64_t prefill_tokens, MonotonicTime now) const;
+  double stream_cost(const Backend& backend, const PromptContext& prompt_context,
+                     const TotalWorkload& work, std::uint64_t prefill_tokens,
+                     MonotonicTime now) const;
   /// Cost of a short stream that occupies a slot at an engine suited to long streams.
-  double scarce_slot_cost(const Backend& backend, const PromptView& view, const Work& work,
-                          const GapForecast& forecast) const;
+  double scarce_slot_cost(const Backend& backend, const PromptContext& prompt_context,
+                          const TotalWorkload& work, const GapForecast& forecast) const;
   std::optional<GapForecast> forecast_at(const Backend& backend, const PlacementRequest& request,
                                          MonotonicTime now) const;
   double unsuited_share(const Backends& engines, const PlacementRequest& request,
                         MonotonicTime now) const;
-  double slot_cost(const Backend& backend, const Work& work, const EngineProfile& profile,
+  double slot_cost(const Backend& backend, const TotalWorkload& work, const EngineProfile& profile,
                    const GapForecast& forecast) const;
 
   template <class Estimate>
--- a/src/gateway/prompt.cc
+++ b/src/gateway/prompt.cc
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-std::string_view Prompt::shared_key() const {
+std::string_view Prompt::shared_prefix_id() const {
   return parts.size() < 2 ? std::string_view() : std::string_view(parts[parts.size() - 2].id);
 }
 
--- a/src/gateway/prompt.h
+++ b/src/gateway/prompt.h
@@ -23,7 +23,7 @@
   std::uint64_t expected_output_tokens = 0;
 
   /// Id of the last shared part, which identifies the shared prefix; empty if there is none.
-  std::string_view shared_key() const;
+  std::string_view shared_prefix_id() const;
   std::uint64_t shared_tokens() const;
   std::uint64_t own_tokens() const { return tokens - shared_tokens(); }
 };
--- a/src/gateway/prompt_cache.cc
+++ b/src/gateway/prompt_cache.cc
@@ -10,7 +10,7 @@
 
 }  // namespace
 
-void PromptCache::note_end(AttemptOutcome outcome) {
+void PrefillCacheHolder::note_end(AttemptOutcome outcome) {
   if (outcome == AttemptOutcome::kRefused) {
     release();
   } else if (outcome != AttemptOutcome::kUnreachable && outcome != AttemptOutcome::kNotSent &&
@@ -20,7 +20,7 @@
   }
 }
 
-void PromptCache::release() {
+void PrefillCacheHolder::release() {
   if (!handle_) {
     return;
   }
--- a/src/gateway/prompt_cache.h
+++ b/src/gateway/prompt_cache.h
@@ -12,10 +12,10 @@
 namespace ochrespring::gateway {
 
 /// Belongs to one request; used from one event loop.
-class PromptCache {
+class PrefillCacheHolder {
  public:
   /// `environment` must outlive this object.
-  explicit PromptCache(Environment& environment) : environment_(environment) {}
+  explicit PrefillCacheHolder(Environment& environment) : environment_(environment) {}
 
   void hold(CacheHandle handle) { handle_ = std::move(handle); }
   bool held() const { return handle_.has_value(); }
--- a/src/gateway/rate_limit_header.cc
+++ b/src/gateway/rate_limit_header.cc
@@ -30,7 +30,7 @@
   return RequestRate{http::parse_number(digits).value_or(0)};
 }
 
-RateStatement read_rate_limit(const std::vector<http::Header>& headers, std::string_view name) {
+RateStatement parse_rate_limit(const std::vector<http::Header>& headers, std::string_view name) {
   RateStatement statement;
   for (const http::Header& header : headers) {
     if (header.name != name) {
@@ -40,7 +40,7 @@
     if (!rate) {
       statement.text = header.value;
       if (statement.kind == RateStatement::Kind::kNone) {
-        statement.kind = RateStatement::Kind::kUnreadable;
+        statement.kind = RateStatement::Kind::kMalformed;
       }
     } else if (statement.kind != RateStatement::Kind::kLimited || *rate < statement.rate) {
       statement.kind = RateStatement::Kind::kLimited;
--- a/src/gateway/rate_limit_header.h
+++ b/src/gateway/rate_limit_header.h
@@ -33,9 +33,9 @@
 /// What the headers of a response say about the back end's rate limit.
 struct RateStatement {
   enum class Kind : std::uint8_t {
-    kNone,        ///< There is no limit.
-    kLimited,     ///< The limit is `rate`.
-    kUnreadable,  ///< The value is malformed: neither sets nor removes a limit.
+    kNone,       ///< There is no limit.
+    kLimited,    ///< The limit is `rate`.
+    kMalformed,  ///< The value is malformed: neither sets nor removes a limit.
   };
   Kind kind = Kind::kNone;
   RequestRate rate;
@@ -43,6 +43,6 @@
 };
 
 /// Of several valid headers with this name the lowest rate applies.
-RateStatement read_rate_limit(const std::vector<http::Header>& headers, std::string_view name);
+RateStatement parse_rate_limit(const std::vector<http::Header>& headers, std::string_view name);
 
 }  // namespace ochrespring::gateway
--- a/src/gateway/request_dispatch.cc
+++ b/src/gateway/request_dispatch.cc
@@ -224,7 +224,7 @@
   } else if (passes_guard()) {
     owner_.start_attempt({.backend = backend,
                           .prefill_tokens = claimed.unread_tokens,
-                          .cache_source = fleet.find(claimed.cache_source)},
+                          .fetch_source = fleet.find(claimed.cache_source)},
                          claimed.kind);
   }
 }
--- a/src/gateway/request_session.cc
+++ b/src/gateway/request_session.cc
@@ -179,7 +179,7 @@
 
 void RequestSession::on_head(const http::ResponseHead& head) {
   attempt_->head = head;
-  attempt_->statement = read_statement(head, environment_.names);
+  attempt_->statement = parse_statement(head, environment_.names);
   const BackendStatement& statement = attempt_->statement;
   note_statement(statement);
   const bool ran = !attempt_->prefill && statement.is_signed && !statement.not_run;
@@ -234,7 +234,7 @@
 void RequestSession::end_prefill(bool refused) {
   const Backend* backend = environment_.fleet.find(attempt_->backend);
   const auto handle =
-      refused ? std::nullopt : environment_.engines.read_cache_handle(attempt_->body);
+      refused ? std::nullopt : environment_.engines.parse_cache_handle(attempt_->body);
   if (handle && backend != nullptr) {
     cache_.hold({backend->id, backend->address, *handle});
   }
@@ -263,7 +263,7 @@
                                        .took = now - attempt_->started,
                                        .tokens = attempt_->unread_tokens,
                                        .tokens_ahead = attempt_->tokens_ahead,
-                                       .with_first_event = !attempt_->prefill},
+                                       .includes_first_event = !attempt_->prefill},
                                       now);
 }
 
--- a/src/gateway/request_session.h
+++ b/src/gateway/request_session.h
@@ -149,7 +149,7 @@
   Timer deadline_timer_;
   Timer progress_timer_;
   std::optional<Attempt> attempt_;
-  PromptCache cache_;
+  PrefillCacheHolder cache_;
   StreamBackup backup_;
   AttemptStarter starter_;
   std::set<BackendId> tried_;
--- a/src/gateway/route_table.cc
+++ b/src/gateway/route_table.cc
@@ -51,7 +51,7 @@
   if (!has_tenants()) {
     return {.allowed = true};
   }
-  const auto key = read_caller_key(authorization);
+  const auto key = parse_caller_key(authorization);
   if (!key) {
     return {.allowed = route.anonymous};
   }
--- a/src/gateway/share_picker.cc
+++ b/src/gateway/share_picker.cc
@@ -6,7 +6,7 @@
 
 /// Fractional part of the golden ratio: its multiples modulo 1 are spread most evenly over the unit
 /// interval.
-constexpr double kStep = 0.6180339887498949;
+constexpr double kGoldenRatioFraction = 0.6180339887498949;
 
 }  // namespace
 
@@ -16,7 +16,8 @@
     total += share.weight;
   }
   const auto [position, added] = positions_.try_emplace(route.name, 0.0);
-  position->second = std::fmod(added ? random_.unit() : position->second + kStep, 1.0);
+  position->second =
+      std::fmod(added ? random_.unit() : position->second + kGoldenRatioFraction, 1.0);
   double left = position->second * total;
   for (const TrafficShare& share : route.shares) {
     left -= share.weight;
--- a/src/gateway/tests/backend_index_test.cc
+++ b/src/gateway/tests/backend_index_test.cc
@@ -60,12 +60,12 @@
   for (int key = 0; key != 8000; ++key) {
     ++keys_of[fleet.index().find(ServiceName("llm"), false)->home(std::to_string(key), any)->id];
   }
-  int most = 0;
+  int max_keys = 0;
   for (const auto& [id, keys] : keys_of) {
-    most = std::max(most, keys);
+    max_keys = std::max(max_keys, keys);
   }
   // Two keys per back end on average; a uniform random assignment has at most 10.
-  CHECK(most <= 13);
+  CHECK(max_keys <= 13);
   CHECK(keys_of.size() > 3200);
 }
 
--- a/src/gateway/tests/backend_statement_test.cc
+++ b/src/gateway/tests/backend_statement_test.cc
@@ -18,7 +18,7 @@
 using Kind = BackoffStatement::Kind;
 
 BackendStatement read(std::uint16_t status, std::vector<http::Header> headers) {
-  return read_statement({status, std::move(headers)}, HeaderNames());
+  return parse_statement({status, std::move(headers)}, HeaderNames());
 }
 
 BackoffStatement backoff_of(const std::vector<std::string>& values) {
@@ -52,7 +52,7 @@
         "Fri, 31 Dec 1999 23:59:59 GMT", "1234567890123456789012345678901234567890"}) {
     CAPTURE(text);
     CHECK_FALSE(parse_seconds(text));
-    CHECK(backoff_of({text}).kind == Kind::kUnreadable);
+    CHECK(backoff_of({text}).kind == Kind::kMalformed);
   }
 }
 
@@ -60,16 +60,16 @@
   CHECK(backoff_of({}).kind == Kind::kNone);
   CHECK(backoff_of({"2", "3.5", "1"}).span == 3500ms);
   CHECK(backoff_of({"soon", "2"}).span == 2s);
-  CHECK(backoff_of({"2", "soon"}).kind == Kind::kAsked);
+  CHECK(backoff_of({"2", "soon"}).kind == Kind::kRequested);
 }
 
 TEST_CASE("only a 503 response in which the server refuses the request requests a backoff") {
   const HeaderNames names;
   const http::Header time{"retry-after", "3"};
-  CHECK(read(503, {time}).backoff.kind == Kind::kAsked);
-  CHECK(read(503, {time, {names.not_run, "1"}}).backoff.kind == Kind::kAsked);
+  CHECK(read(503, {time}).backoff.kind == Kind::kRequested);
+  CHECK(read(503, {time, {names.not_run, "1"}}).backoff.kind == Kind::kRequested);
   CHECK(read(503, {time, {names.not_run, "1"}, {names.signature, "s"}}).backoff.kind ==
-        Kind::kAsked);
+        Kind::kRequested);
   // Signed by the application, about one request only.
   CHECK(read(503, {time, {names.signature, "s"}}).backoff.kind == Kind::kNone);
   for (const std::uint16_t status : {200, 421, 429, 500, 502, 504}) {
@@ -84,12 +84,12 @@
   CHECK(read(503, {{names.leaving, "1"}}).leaving);
   CHECK(read(200, {{names.leaving, "x"}, {names.leaving, "1"}}).leaving);
   CHECK_FALSE(read(200, {}).leaving);
-  CHECK_FALSE(read(200, {}).leaving_unreadable);
+  CHECK_FALSE(read(200, {}).leaving_malformed);
   for (const char* text : {"0", "", "true", "11", "1 "}) {
     CAPTURE(text);
     const BackendStatement statement = read(200, {{names.leaving, text}});
     CHECK_FALSE(statement.leaving);
-    CHECK(statement.leaving_unreadable);
+    CHECK(statement.leaving_malformed);
   }
 }
 
@@ -120,7 +120,7 @@
 }
 
 // Covers every header that has a documented meaning in a server's response. A header without an
-// effect on read_statement() states the reason.
+// effect on parse_statement() states the reason.
 TEST_CASE("every documented response header is evaluated or has a stated reason not to be") {
   const HeaderNames names;
   const auto differs = [&](const http::Header& header, std::uint16_t status) {
@@ -134,7 +134,7 @@
   struct Row {
     http::Header header;
     std::uint16_t status;
-    const char* other_reader;  ///< Null: read_statement().
+    const char* other_reader;  ///< Null: parse_statement().
   };
   const Row rows[] = {
       {{names.load, "1,2,8"}, 200, nullptr},
--- a/src/gateway/tests/caller_keys_test.cc
+++ b/src/gateway/tests/caller_keys_test.cc
@@ -39,9 +39,9 @@
 
   /// Returns an environment that counts the runs of each tenant.
   Environment counting_into(std::map<std::string, int>& runs) {
-    Environment made = environment();
-    made.note_run = [&runs](const TenantName& tenant, Duration) { ++runs[tenant.value()]; };
-    return made;
+    Environment result = environment();
+    result.note_run = [&runs](const TenantName& tenant, Duration) { ++runs[tenant.value()]; };
+    return result;
   }
 
   auto send_with_key(const std::string& path, const std::string& authorization) {
@@ -52,27 +52,27 @@
 }  // namespace
 
 TEST_CASE("a request with a known key runs for its tenant, and the key is not forwarded") {
-  KeyedFixture world;
-  world.send_with_key("/once/x", "Token k1");
-  REQUIRE(world.sends() == 1);
-  CHECK(world.last().header(world.names.tenant) == "t1");
-  CHECK(world.last().header("authorization").empty());
-  world.send_with_key("/once/x", "token  k1 ");
-  CHECK(world.sends() == 2);
+  KeyedFixture fixture;
+  fixture.send_with_key("/once/x", "Token k1");
+  REQUIRE(fixture.sends() == 1);
+  CHECK(fixture.last().header(fixture.names.tenant) == "t1");
+  CHECK(fixture.last().header("authorization").empty());
+  fixture.send_with_key("/once/x", "token  k1 ");
+  CHECK(fixture.sends() == 2);
 }
 
 TEST_CASE("a request whose signed response breaks off is counted once for its tenant") {
-  KeyedFixture world;
+  KeyedFixture fixture;
   std::map<std::string, int> runs;
-  Gateway counting(world.counting_into(runs), [](auto done) { done(true); });
-  world.add_backend("b2", "relay");
+  Gateway counting(fixture.counting_into(runs), [](auto done) { done(true); });
+  fixture.add_backend("b2", "relay");
   auto caller = std::make_shared<testing::PlayedCaller>();
   counting.handle({"POST", "/idempotent/x", "", {{"host", "h"}, {"authorization", "Token k1"}}, ""},
                   caller);
-  world.last().observer->on_head({200, {world.signature()}});
-  world.last().fail(http::HttpErrc::kTruncated, true);
+  fixture.last().observer->on_head({200, {fixture.signature()}});
+  fixture.last().fail(http::HttpErrc::kTruncated, true);
   CHECK(runs["t1"] == 1);
-  world.last().answer(200, {world.signature()}, "ok");
+  fixture.last().answer(200, {fixture.signature()}, "ok");
   CHECK(caller->head.status == 200);
   CHECK(runs["t1"] == 1);
 }
@@ -87,76 +87,76 @@
   for (const Row& row : {Row{http::HttpErrc::kReset, 1}, Row{http::HttpErrc::kTimeout, 0},
                          Row{http::HttpErrc::kStaleConnection, 0}}) {
     CAPTURE(http::describe(row.code));
-    KeyedFixture world;
+    KeyedFixture fixture;
     std::map<std::string, int> runs;
-    Gateway counting(world.counting_into(runs), [](auto done) { done(true); });
+    Gateway counting(fixture.counting_into(runs), [](auto done) { done(true); });
     auto caller = std::make_shared<testing::PlayedCaller>();
     counting.handle({"POST", "/once/x", "", {{"host", "h"}, {"authorization", "Token k1"}}, ""},
                     caller);
-    world.last().fail(row.code, true);
+    fixture.last().fail(row.code, true);
     CHECK(runs["t1"] == row.runs);
   }
 }
 
 TEST_CASE("a request without a known key gets 401 and does not run") {
-  KeyedFixture world;
+  KeyedFixture fixture;
   const std::string long_key(8192, 'k');
   for (const std::string& authorization :
        {std::string(), std::string("Token"), std::string("Token "), std::string("Token k"),
         std::string("Token K1"), std::string("Basic k1"), std::string("k1"), "Token " + long_key}) {
     CAPTURE(authorization);
-    const auto caller = world.send_with_key("/once/x", authorization);
+    const auto caller = fixture.send_with_key("/once/x", authorization);
     CHECK(caller->head.status == 401);
     CHECK(caller->header("www-authenticate") == "Token");
     CHECK(caller->body.find("k1") == std::string::npos);
   }
-  CHECK(world.sends() == 0);
-  CHECK(world.statistics.unknown_key == 8);
+  CHECK(fixture.sends() == 0);
+  CHECK(fixture.statistics.unknown_key == 8);
 }
 
 TEST_CASE("a node that cannot verify a key answers 503 and sends nothing") {
-  KeyedFixture world;
-  world.store_answers = false;
-  CHECK(world.send_with_key("/once/x", "Token new")->head.status == 503);
-  CHECK(world.sends() == 0);
+  KeyedFixture fixture;
+  fixture.store_answers = false;
+  CHECK(fixture.send_with_key("/once/x", "Token new")->head.status == 503);
+  CHECK(fixture.sends() == 0);
 }
 
 TEST_CASE("an unknown route takes precedence over an unknown key") {
-  KeyedFixture world;
-  CHECK(world.send_with_key("/nowhere/", "Token unknown")->head.status == 404);
+  KeyedFixture fixture;
+  CHECK(fixture.send_with_key("/nowhere/", "Token unknown")->head.status == 404);
 }
 
 TEST_CASE("an anonymous route needs no key but rejects an unknown one") {
-  KeyedFixture world;
-  world.send("/open/x", {{world.names.tenant, "forged"}});
-  REQUIRE(world.sends() == 1);
-  CHECK(world.last().header(world.names.tenant).empty());
-  world.send_with_key("/open/x", "Token k1");
-  CHECK(world.last().header(world.names.tenant) == "t1");
-  CHECK(world.send_with_key("/open/x", "Token gone")->head.status == 401);
+  KeyedFixture fixture;
+  fixture.send("/open/x", {{fixture.names.tenant, "forged"}});
+  REQUIRE(fixture.sends() == 1);
+  CHECK(fixture.last().header(fixture.names.tenant).empty());
+  fixture.send_with_key("/open/x", "Token k1");
+  CHECK(fixture.last().header(fixture.names.tenant) == "t1");
+  CHECK(fixture.send_with_key("/open/x", "Token gone")->head.status == 401);
 }
 
 TEST_CASE(
     "without tenants callers need no keys, and their credentials are forwarded to back ends") {
-  GatewayFixture world;
-  world.add_backend("b1", "relay");
-  world.send("/once/x", {{"authorization", "Basic own"}});
-  REQUIRE(world.sends() == 1);
-  CHECK(world.last().header("authorization") == "Basic own");
+  GatewayFixture fixture;
+  fixture.add_backend("b1", "relay");
+  fixture.send("/once/x", {{"authorization", "Basic own"}});
+  REQUIRE(fixture.sends() == 1);
+  CHECK(fixture.last().header("authorization") == "Basic own");
 }
 
 TEST_CASE("the tenant's priority overrides the route's") {
-  KeyedFixture world;
-  world.add_backend("e1", "llm", EngineRole::kDecode);
+  KeyedFixture fixture;
+  fixture.add_backend("e1", "llm", EngineRole::kDecode);
   Configuration configuration = GatewayFixture::make_configuration(3);
   configuration.tenants = {{.name = TenantName("t1"), .priority = 2, .keys = {digest_key("k1")}},
                            {.name = TenantName("t2"), .priority = {}, .keys = {digest_key("k2")}}};
-  world.fleet.apply(std::move(configuration));
+  fixture.fleet.apply(std::move(configuration));
   const auto priority_of = [&](const std::string& key) {
-    world.send("/stream/x", {{"authorization", "Token " + key},
-                             {world.names.prompt_parts, "1:10"},
-                             {world.names.token_counts, "10,1"}});
-    return world.last().header(world.names.priority);
+    fixture.send("/stream/x", {{"authorization", "Token " + key},
+                               {fixture.names.prompt_parts, "1:10"},
+                               {fixture.names.token_counts, "10,1"}});
+    return fixture.last().header(fixture.names.priority);
   };
   CHECK(priority_of("k1") == std::to_string(engine_priority(2, 10)));
   CHECK(priority_of("k2") == std::to_string(engine_priority(0, 10)));
@@ -166,7 +166,7 @@
     "under frequent configuration changes a key is accepted exactly while it is known, for its "
     "tenant") {
   CHECK(rc::check("keys are added, removed and moved between tenants", [] {
-    KeyedFixture world;
+    KeyedFixture fixture;
     std::map<std::string, std::string> keys{{"k1", "t1"}};
     std::uint64_t version = 2;
     for (int step = 0; step != 40; ++step) {
@@ -174,19 +174,19 @@
       const int what = *rc::gen::inRange(0, 4);
       if (what == 0) {
         keys.erase(key);
-        world.apply(++version, keys);
+        fixture.apply(++version, keys);
       } else if (what == 1) {
         keys[key] = "t" + std::to_string(*rc::gen::inRange(0, 3));
-        world.apply(++version, keys);
+        fixture.apply(++version, keys);
       } else {
-        const std::size_t before = world.sends();
-        const auto caller = world.send_with_key("/once/x", "Token " + key);
+        const std::size_t before = fixture.sends();
+        const auto caller = fixture.send_with_key("/once/x", "Token " + key);
         const auto known = keys.find(key);
-        RC_ASSERT(world.sends() == before + (known == keys.end() ? 0 : 1));
+        RC_ASSERT(fixture.sends() == before + (known == keys.end() ? 0 : 1));
         if (known == keys.end()) {
           RC_ASSERT(caller->head.status == 401);
         } else {
-          RC_ASSERT(world.last().header(world.names.tenant) == known->second);
+          RC_ASSERT(fixture.last().header(fixture.names.tenant) == known->second);
         }
       }
     }
--- a/src/gateway/tests/engine_observer_test.cc
+++ b/src/gateway/tests/engine_observer_test.cc
@@ -55,12 +55,12 @@
   Gateway observed{observing(), [](auto done) { done(true); }};
 
   Environment observing() {
-    Environment made = environment();
-    made.observer = &seen;
-    return made;
+    Environment result = environment();
+    result.observer = &seen;
+    return result;
   }
-  std::shared_ptr<PlayedCaller> ask(const std::string& path,
-                                    std::vector<http::Header> headers = kPrompt) {
+  std::shared_ptr<PlayedCaller> send_request(const std::string& path,
+                                             std::vector<http::Header> headers = kPrompt) {
     headers.push_back({"host", "h"});
     auto caller = std::make_shared<PlayedCaller>();
     observed.handle({"POST", path, "", std::move(headers), "body"}, caller);
@@ -84,7 +84,7 @@
                   "a stream reports its gaps, its prefill, and the time while it counts as long") {
   add_backend("e1", "llm", EngineRole::kDecode);
   const BackendId engine("e1");
-  ask("/stream/x");
+  send_request("/stream/x");
   advance(milliseconds(20));
   last().observer->on_head({200, {signature(), {names.load, "1,0,8,130"}}});
   CHECK(seen.paces == std::vector<std::uint32_t>{130});
@@ -95,13 +95,13 @@
   REQUIRE(seen.prefills.size() == 1);
   CHECK(seen.prefills[0].took == milliseconds(60));
   CHECK(seen.prefills[0].tokens == 200);
-  CHECK(seen.prefills[0].with_first_event);
+  CHECK(seen.prefills[0].includes_first_event);
   CHECK(seen.long_streams[engine] == 0);  // 12 events are expected, 3 remain.
 }
 
 TEST_CASE_FIXTURE(ObservedGateway, "a stream that ends early no longer counts as long") {
   add_backend("e1", "llm", EngineRole::kDecode);
-  const auto caller = ask("/stream/x");
+  const auto caller = send_request("/stream/x");
   last().observer->on_head({200, {signature()}});
   send_events(2, milliseconds(40));
   CHECK(seen.long_streams[BackendId("e1")] == 1);
@@ -113,7 +113,7 @@
                   "the interruption of a resumed stream is not observed as a gap") {
   add_backend("e1", "llm", EngineRole::kDecode);
   add_backend("e2", "llm", EngineRole::kDecode);
-  ask("/resumable/x");
+  send_request("/resumable/x");
   last().observer->on_head({200, {signature()}});
   send_events(5, milliseconds(10));
   last().fail(http::HttpErrc::kTruncated, true);
@@ -129,7 +129,7 @@
 
 TEST_CASE_FIXTURE(ObservedGateway, "gaps are not observed after the caller has stopped reading") {
   add_backend("e1", "llm", EngineRole::kDecode);
-  const auto caller = ask("/stream/x");
+  const auto caller = send_request("/stream/x");
   last().observer->on_head({200, {signature()}});
   send_events(4, milliseconds(40));
   caller->buffered = 1U << 20U;
@@ -144,8 +144,8 @@
   add_backend("p1", "llm", EngineRole::kPrefill);
   add_backend("d1", "llm", EngineRole::kDecode);
   const auto call = [&] {
-    ask("/stream/x", {{"x-ochrespring-prompt-parts", "aa:9000,bb:9000"},
-                      {"x-ochrespring-token-counts", "18000,50"}});
+    send_request("/stream/x", {{"x-ochrespring-prompt-parts", "aa:9000,bb:9000"},
+                               {"x-ochrespring-token-counts", "18000,50"}});
     REQUIRE(last().header(names.phase) == "prefill");
     advance(milliseconds(30));
     last().answer(200, {}, "handle=h7");
@@ -158,5 +158,5 @@
   REQUIRE(seen.prefills.size() == 1);
   CHECK(seen.prefills[0].engine == BackendId("p1"));
   CHECK(seen.prefills[0].tokens == 9000);
-  CHECK_FALSE(seen.prefills[0].with_first_event);
+  CHECK_FALSE(seen.prefills[0].includes_first_event);
 }
--- a/src/gateway/tests/gateway_fixture.h
+++ b/src/gateway/tests/gateway_fixture.h
@@ -112,7 +112,7 @@
 /// Engines' calls in a form of the test's own.
 class PlayedEngineCalls final : public EngineCalls {
  public:
-  std::optional<std::string> read_cache_handle(std::string_view body) const override {
+  std::optional<std::string> parse_cache_handle(std::string_view body) const override {
     return body.starts_with("handle=") ? std::optional(std::string(body.substr(7))) : std::nullopt;
   }
   http::ClientRequest release_cache(const std::string& handle) const override {
@@ -126,7 +126,7 @@
     request.path = "/cached";
     return request;
   }
-  std::vector<std::string> read_cached_parts(std::string_view body) const override {
+  std::vector<std::string> parse_cached_parts(std::string_view body) const override {
     return body.empty() ? std::vector<std::string>() : std::vector{std::string(body)};
   }
 };
--- a/src/gateway/tests/large_placement_test.cc
+++ b/src/gateway/tests/large_placement_test.cc
@@ -67,55 +67,55 @@
   }
 }
 
-// Guards against a slow first token of cold prompts: a prompt of 17,000 tokens took 0.9 to 1 s,
+// Guards against a slow first token of uncached prompts: a prompt of 17,000 tokens took 0.9 to 1 s,
 // over the latency objective, because an engine that decodes prefilled it at half the speed while
 // thousands of prefill engines were idle.
-TEST_CASE("idle prefill engines prefill cold prompts") {
-  const LargePlacement fleet;
-  CHECK(fleet.choose(LargePlacement::make_prompt("cold")).prefill.backend != nullptr);
-  CHECK(fleet.choose(LargePlacement::make_prompt("long", 30'000)).prefill.backend != nullptr);
+TEST_CASE("idle prefill engines prefill uncached prompts") {
+  const LargePlacement fixture;
+  CHECK(fixture.choose(LargePlacement::make_prompt("cold")).prefill.backend != nullptr);
+  CHECK(fixture.choose(LargePlacement::make_prompt("long", 30'000)).prefill.backend != nullptr);
 }
 
 TEST_CASE("a prompt goes to the engine that has it cached, even long after its last use") {
-  LargePlacement fleet;
+  LargePlacement fixture;
   const BackendId holder("i-777");
   const Prompt prompt = LargePlacement::make_prompt("kept");
-  fleet.loads.note_prompt(holder, prompt, fleet.now);
+  fixture.loads.note_prompt(holder, prompt, fixture.now);
   for (const Duration later : {Duration(2s), Duration(30s), Duration(60s)}) {
-    fleet.now += later;
-    const PlacementPlan plan = fleet.choose(prompt);
+    fixture.now += later;
+    const PlacementPlan plan = fixture.choose(prompt);
     CHECK(plan.prefill.backend == nullptr);
     CHECK(plan.runner.backend->id == holder);
   }
   // Eleven other parts have been prefilled there since: it may have been evicted.
   for (int other = 0; other != 11; ++other) {
-    fleet.loads.note_prompt(holder, LargePlacement::make_prompt("o" + std::to_string(other)),
-                            fleet.now);
+    fixture.loads.note_prompt(holder, LargePlacement::make_prompt("o" + std::to_string(other)),
+                              fixture.now);
   }
-  fleet.now += 12s;
-  CHECK(fleet.choose(prompt).runner.backend->id != holder);
+  fixture.now += 12s;
+  CHECK(fixture.choose(prompt).runner.backend->id != holder);
 }
 
 TEST_CASE("an engine that has a prompt cached but is busy with many others is not chosen") {
-  LargePlacement fleet;
+  LargePlacement fixture;
   const BackendId holder("i-777");
   const Prompt prompt = LargePlacement::make_prompt("kept");
-  fleet.loads.note_prompt(holder, prompt, fleet.now);
+  fixture.loads.note_prompt(holder, prompt, fixture.now);
   for (int other = 0; other != 12; ++other) {
-    fleet.loads.begin(holder, 9'000);
+    fixture.loads.begin(holder, 9'000);
   }
-  CHECK(fleet.choose(prompt).runner.backend->id != holder);
+  CHECK(fixture.choose(prompt).runner.backend->id != holder);
 }
 
 TEST_CASE("a burst of prompts without shared parts is spread over idle engines") {
-  LargePlacement fleet;
+  LargePlacement fixture;
   std::map<BackendId, int> sent;
   for (int i = 0; i != 400; ++i) {
     const Prompt prompt = parse_prompt("own" + std::to_string(i) + ":4000", "4000,10");
-    const PlacementPlan plan = fleet.choose(prompt);
+    const PlacementPlan plan = fixture.choose(prompt);
     const Backend* first =
         plan.prefill.backend != nullptr ? plan.prefill.backend : plan.runner.backend;
-    fleet.loads.begin(first->id, 4'000);
+    fixture.loads.begin(first->id, 4'000);
     ++sent[first->id];
   }
   for (const auto& [id, count] : sent) {
@@ -124,23 +124,24 @@
 }
 
 TEST_CASE("the few remaining engines are found while nearly all are draining") {
-  LargePlacement fleet;
+  LargePlacement fixture;
   for (int i = 0; i != kEngines; ++i) {
-    Backend backend = *fleet.fleet.find(BackendId("i-" + std::to_string(i)));
+    Backend backend = *fixture.fleet.find(BackendId("i-" + std::to_string(i)));
     backend.draining = i != 4;
-    fleet.fleet.put(backend);
+    fixture.fleet.put(backend);
   }
-  const PlacementPlan plan = fleet.choose(LargePlacement::make_prompt("any"));
+  const PlacementPlan plan = fixture.choose(LargePlacement::make_prompt("any"));
   REQUIRE(plan.runner.backend != nullptr);
   CHECK(plan.runner.backend->id == BackendId("i-4"));
 }
 
 TEST_CASE("if all engines are ejected, one of them is chosen anyway") {
-  LargePlacement fleet;
+  LargePlacement fixture;
   for (int i = 0; i != kEngines; ++i) {
-    fleet.loads.of(BackendId("i-" + std::to_string(i))).note_unresponsive(fleet.now);
+    fixture.loads.find_or_create(BackendId("i-" + std::to_string(i)))
+        .note_unresponsive(fixture.now);
   }
-  CHECK(fleet.choose(LargePlacement::make_prompt("any")).runner.backend != nullptr);
+  CHECK(fixture.choose(LargePlacement::make_prompt("any")).runner.backend != nullptr);
 }
 
 TEST_CASE("the index of cached parts drops parts that engines have evicted") {
--- a/src/gateway/tests/policies_test.cc
+++ b/src/gateway/tests/policies_test.cc
@@ -138,11 +138,11 @@
 TEST_CASE("a prompt is parsed into its parts, shared key, own tokens and output estimate") {
   const Prompt prompt = parse_prompt("5c1e:800, 91bd:410,e440:250", "1460,80");
   CHECK(prompt.parts.size() == 3);
-  CHECK(prompt.shared_key() == "91bd");
+  CHECK(prompt.shared_prefix_id() == "91bd");
   CHECK(prompt.shared_tokens() == 1210);
   CHECK(prompt.own_tokens() == 250);
   CHECK(prompt.output_tokens == 80);
-  CHECK(parse_prompt("", "").shared_key().empty());
+  CHECK(parse_prompt("", "").shared_prefix_id().empty());
   CHECK(parse_prompt("a:5", "").tokens == 5);
   CHECK(parse_prompt("a:5", "5,80").expected_output_tokens == 80);
   CHECK(parse_prompt("a:5", "5,80", "30").expected_output_tokens == 30);
@@ -206,7 +206,7 @@
   SeededRandom random(1);
   LoadTable loads;
   const MonotonicTime now = MonotonicTime() + 10s;
-  loads.of(BackendId("a")).note_report(*parse_load("0,0,8,300"), now);
+  loads.find_or_create(BackendId("a")).note_report(*parse_load("0,0,8,300"), now);
   const Placement placement(fleet, loads, random, ZoneName("a"));
   for (int i = 0; i != 20; ++i) {
     CHECK(placement.choose(request, now).runner.backend->id == BackendId("b"));
@@ -268,7 +268,7 @@
   REQUIRE(homes.size() == 1);
   SeededRandom random(1);
   LoadTable loads;
-  loads.of(BackendId(*homes.begin())).begin(100'000);
+  loads.find_or_create(BackendId(*homes.begin())).begin(100'000);
   const Placement placement(fleet, loads, random, ZoneName("z"));
   CHECK(placement.choose(request, {}).runner.backend->id.value() != *homes.begin());
 }
@@ -297,8 +297,8 @@
   survey.begin(NodeId("n1"), {NodeId("n1")});
   survey.begin(NodeId("n1"), {NodeId("n1")});
   CHECK(asked.size() == 3);
-  CHECK(loads.of(BackendId("b")).holds(stable_hash("k1"), time.now()));
-  CHECK_FALSE(loads.of(BackendId("a")).holds(stable_hash("k1"), time.now()));
+  CHECK(loads.find_or_create(BackendId("b")).holds(stable_hash("k1"), time.now()));
+  CHECK_FALSE(loads.find_or_create(BackendId("a")).holds(stable_hash("k1"), time.now()));
 }
 
 TEST_CASE("a shared part is fetched from an engine that certainly has it cached") {
@@ -355,13 +355,13 @@
   SeededRandom random(1);
   LoadTable loads;
   loads.note_prompt(BackendId("a"), prompt, {});
-  loads.of(BackendId("a")).begin(20'000);
+  loads.find_or_create(BackendId("a")).begin(20'000);
   const Placement placement(fleet, loads, random, ZoneName("z"));
   const PlacementPlan plan = placement.choose(request, MonotonicTime() + 2s);
   REQUIRE(plan.runner.backend != nullptr);
   CHECK(plan.runner.backend->id.value() == "b");
-  REQUIRE(plan.runner.cache_source != nullptr);
-  CHECK(plan.runner.cache_source->id.value() == "a");
+  REQUIRE(plan.runner.fetch_source != nullptr);
+  CHECK(plan.runner.fetch_source->id.value() == "a");
   CHECK(plan.runner.prefill_tokens == 500);
 }
 
@@ -379,7 +379,7 @@
   LoadTable loads;
   const Placement placement(fleet, loads, random, ZoneName("z"));
   CHECK(placement.choose(request, {}).runner.backend->id.value() == "c");
-  loads.of(BackendId("c")).begin(5'000);
+  loads.find_or_create(BackendId("c")).begin(5'000);
   CHECK(placement.choose(request, {}).runner.backend->id.value() != "c");
 }
 
@@ -395,7 +395,7 @@
   request.service = ServiceName("llm");
   request.prompt = &prompt;
   LoadTable loads;
-  loads.of(BackendId("d-near")).begin(0);
+  loads.find_or_create(BackendId("d-near")).begin(0);
   for (std::uint64_t seed = 0; seed != 20; ++seed) {
     SeededRandom random(seed);
     const Placement placement(fleet, loads, random, ZoneName("other"));
@@ -417,7 +417,7 @@
   std::size_t announced = 0;
   for (const NodeId& node : nodes) {
     LoadTable loads;
-    loads.on_prompt([&](const BackendId&, const std::vector<std::uint64_t>& keys) {
+    loads.on_parts_cached([&](const BackendId&, const std::vector<std::uint64_t>& keys) {
       announced += keys.size();
     });
     std::size_t asked_by_node = 0;
@@ -447,13 +447,13 @@
   LoadTable loads;
   const MonotonicTime now = MonotonicTime() + 10s;
   for (int i = 0; i != 200; ++i) {
-    loads.of(BackendId("a")).note_peer_outcomes(2, 2, now);
+    loads.find_or_create(BackendId("a")).note_peer_outcomes(2, 2, now);
   }
-  loads.of(BackendId("b")).begin(5'000);
+  loads.find_or_create(BackendId("b")).begin(5'000);
   const Placement placement(fleet, loads, random, ZoneName("z"));
   CHECK(placement.choose(request, now).runner.backend->id.value() == "b");
-  CHECK(loads.of(BackendId("a")).failure_share(now) > 0.8);
-  CHECK(loads.of(BackendId("a")).failure_share(now + 15s) < 0.2);
+  CHECK(loads.find_or_create(BackendId("a")).failure_share(now) > 0.8);
+  CHECK(loads.find_or_create(BackendId("a")).failure_share(now + 15s) < 0.2);
 }
 
 TEST_CASE("a cold back end is not chosen while a warm one is equally idle") {
--- a/src/gateway/tests/rate_limit_header_test.cc
+++ b/src/gateway/tests/rate_limit_header_test.cc
@@ -20,7 +20,7 @@
   for (const std::string& value : values) {
     headers.push_back({"limit", value});
   }
-  return read_rate_limit(headers, "limit");
+  return parse_rate_limit(headers, "limit");
 }
 
 }  // namespace
@@ -55,8 +55,8 @@
   CHECK(read({"3", "1.5", "2"}).rate.thousandths == 1500);
   CHECK(read({"x", "2"}).kind == Kind::kLimited);
   CHECK(read({"2", "x"}).rate.thousandths == 2000);
-  CHECK(read({"1,3"}).kind == Kind::kUnreadable);
-  CHECK(read({""}).kind == Kind::kUnreadable);
+  CHECK(read({"1,3"}).kind == Kind::kMalformed);
+  CHECK(read({""}).kind == Kind::kMalformed);
 }
 
 TEST_CASE("the parsed rate is never above the number, for any header value") {
--- a/src/gateway/tests/request_session_test.cc
+++ b/src/gateway/tests/request_session_test.cc
@@ -392,7 +392,7 @@
   const auto caller = world.send("/once/x");
   CHECK(world.sends() == 1);
   CHECK(caller->head.status == 503);
-  CHECK(world.loads.of(BackendId("r1")).reported_waiting(world.time.now()) == 0);
+  CHECK(world.loads.find_or_create(BackendId("r1")).reported_waiting(world.time.now()) == 0);
   world.add_backend("r2", "relay");
   world.send("/once/x");
   CHECK(world.last().request.endpoint == Endpoint("r2:1"));
@@ -405,7 +405,7 @@
   world.send("/stream/x", kLongPrompt);
   REQUIRE(world.last().request.endpoint.value() == "p1:1");
   world.last().answer(421, {}, "");
-  CHECK(world.loads.of(BackendId("p1")).ejected(world.time.now()));
+  CHECK(world.loads.find_or_create(BackendId("p1")).ejected(world.time.now()));
 }
 
 TEST_CASE("a deadline beyond all measure is the route's time, and one that is no number too") {
--- a/src/gateway/tests/stream_backup_test.cc
+++ b/src/gateway/tests/stream_backup_test.cc
@@ -89,10 +89,10 @@
     fleet.note_leaving(BackendId("near"));
   }
   SUBCASE("ejected") {
-    loads.of(BackendId("near")).note_unresponsive(now);
+    loads.find_or_create(BackendId("near")).note_unresponsive(now);
   }
   SUBCASE("replaced") {
-    loads.of(BackendId("near")).end(AttemptOutcome::kReplaced, now);
+    loads.find_or_create(BackendId("near")).end(AttemptOutcome::kReplaced, now);
   }
   SUBCASE("without room") {
     gate.full.insert(BackendId("near"));
@@ -172,7 +172,7 @@
   StreamBackup backup = begun();
   CHECK(backup.source().runner == Endpoint("run:1"));
   backup.note_event({"id: 1\n\n", 1});
-  loads.of(BackendId("copy")).end(AttemptOutcome::kReplaced, now);
+  loads.find_or_create(BackendId("copy")).end(AttemptOutcome::kReplaced, now);
   CHECK(backup.obstacle({}, now) == BackupObstacle::kGone);
   backup.note_used();
   CHECK(backup.obstacle({}, now) == BackupObstacle::kUsed);
--- a/src/gateway_load/tests/load_fleet.cc
+++ b/src/gateway_load/tests/load_fleet.cc
@@ -162,7 +162,7 @@
     }
     node.loads.set_peers(&node.peers);
     node.loads.on_change([this, index](const BackendId& id) { tell_peers(index, id); });
-    node.loads.on_prompt(
+    node.loads.on_parts_cached(
         [this, index](const BackendId& id, const std::vector<std::uint64_t>& keys) {
           at(options_.news_delay, [this, index, id, keys] {
             for (std::size_t other = 0; other != nodes_.size(); ++other) {
@@ -421,7 +421,7 @@
   if (kind != SequenceKind::kImport) {
     const std::uint64_t blocks = call.prompt.shared_tokens() / engine::kTokensPerBlock;
     for (std::uint64_t block = 0; block != blocks; ++block) {
-      spec.blocks.push_back(combine_hashes(stable_hash(call.prompt.shared_key()), block));
+      spec.blocks.push_back(combine_hashes(stable_hash(call.prompt.shared_prefix_id()), block));
     }
   }
   call.at = engine.backend().id;
--- a/src/gateway_node/gateway_node.cc
+++ b/src/gateway_node/gateway_node.cc
@@ -345,7 +345,7 @@
       return;
     }
     http::Response& response = result.value();
-    const auto statement = gateway::read_statement(response.head, adapter_.names);
+    const auto statement = gateway::parse_statement(response.head, adapter_.names);
     if (!statement.misdirected) {
       admission_.note_answer({.backend = engine, .sent = now, .statement = statement});
     }
--- a/src/gateway_node/peer_news.cc
+++ b/src/gateway_node/peer_news.cc
@@ -75,9 +75,10 @@
     }
   });
   loads.on_unresponsive([this](const gateway::BackendId& id) { announcer_.note_silence(id); });
-  loads.on_prompt([this](const gateway::BackendId& id, const std::vector<std::uint64_t>& keys) {
-    announcer_.note_parts(id, keys);
-  });
+  loads.on_parts_cached(
+      [this](const gateway::BackendId& id, const std::vector<std::uint64_t>& keys) {
+        announcer_.note_parts(id, keys);
+      });
 }
 
 bool PeerNews::is_engine(const gateway::BackendId& id) const {
@@ -154,7 +155,7 @@
       peer_work_.forget(work.engine);
       continue;
     }
-    gateway::BackendLoad& load = world_.loads.of(work.engine);
+    gateway::BackendLoad& load = world_.loads.find_or_create(work.engine);
     if (work.ended != 0) {
       load.note_peer_outcomes(work.ended, work.failed, now);
     }
--- a/src/gateway_node/tests/stopping_node.h
+++ b/src/gateway_node/tests/stopping_node.h
@@ -142,12 +142,12 @@
 /// No engine is asked for anything here.
 class NoEngineCalls final : public gateway::EngineCalls {
  public:
-  std::optional<std::string> read_cache_handle(std::string_view /*body*/) const override {
+  std::optional<std::string> parse_cache_handle(std::string_view /*body*/) const override {
     return std::nullopt;
   }
   http::ClientRequest release_cache(const std::string& /*handle*/) const override { return {}; }
   http::ClientRequest list_cached_parts() const override { return {}; }
-  std::vector<std::string> read_cached_parts(std::string_view /*body*/) const override {
+  std::vector<std::string> parse_cached_parts(std::string_view /*body*/) const override {
     return {};
   }
 };
--- a/src/rate_limit/limit_table.cc
+++ b/src/rate_limit/limit_table.cc
@@ -19,7 +19,7 @@
 }  // namespace
 
 std::optional<LimitNews> LimitTable::note_answer(const RateAnswer& answer, MonotonicTime now) {
-  if (answer.statement.kind == Kind::kUnreadable) {
+  if (answer.statement.kind == Kind::kMalformed) {
     return std::nullopt;
   }
   const bool limited = answer.statement.kind == Kind::kLimited;
--- a/src/rate_limit/rate_limiter.cc
+++ b/src/rate_limit/rate_limiter.cc
@@ -179,7 +179,7 @@
 }
 
 void RateLimiter::note_answer(const RateAnswer& answer) {
-  if (answer.statement.kind == gateway::RateStatement::Kind::kUnreadable) {
+  if (answer.statement.kind == gateway::RateStatement::Kind::kMalformed) {
     ++statistics_.limits_unreadable;
     world_.logger.write({logging::Level::kWarning,
                          kComponent,
--- a/src/rate_limit/tests/limit_table_test.cc
+++ b/src/rate_limit/tests/limit_table_test.cc
@@ -63,7 +63,7 @@
 
 TEST_CASE("an answer whose limit cannot be read leaves a limit as it is") {
   LimitTable table;
-  RateAnswer unreadable{kServer, at(5s), {Kind::kUnreadable, {}, "1,3"}};
+  RateAnswer unreadable{kServer, at(5s), {Kind::kMalformed, {}, "1,3"}};
   CHECK_FALSE(table.note_answer(unreadable, at(6s)));
   CHECK_FALSE(table.limit_of(kServer));
   table.note_answer(named(2, 1s), at(2s));
