--- a/src/gateway/backend_incarnation.h
+++ b/src/gateway/backend_incarnation.h
@@ -27,7 +27,8 @@
   return BackendId(std::move(id));
 }
 
-/// Whether the id distinguishes incarnations: another one may then answer at the same address.
+/// Whether the id contains a start time, so that another incarnation at the same address can be
+/// told apart; also true for an id without one whose name contains an '@'.
 inline bool has_incarnation(const BackendId& id) {
   return id.value().find('@') != std::string::npos;
 }
--- a/src/gateway/backend_index.h
+++ b/src/gateway/backend_index.h
@@ -31,9 +31,9 @@
   std::size_t size() const { return size_; }
 
   /// The back end that all nodes rank first for `key` among those that `accept` allows, or null.
-  /// Rendezvous hashing in two steps: first the bucket, then the back end in it. Adding or removing
-  /// a back end moves only keys of its bucket, and with 10,000 back ends some 220 weights are
-  /// computed.
+  /// Rendezvous hashing in two steps: first the bucket, then the back end in it. Removing a back
+  /// end moves only the keys whose home it is, and adding one moves only keys to it. With 10,000
+  /// back ends some 220 weights are computed.
   const Backend* home(std::string_view key, const Accept& accept) const;
   /// Up to `max_count` distinct accepted back ends, chosen at random. May return fewer than there
   /// are.
@@ -43,8 +43,8 @@
   std::vector<const Backend*> all(const Accept& accept) const;
 
  private:
-  /// About the square root of the largest expected group (some 10,000), which makes both steps
-  /// equally short.
+  /// With the largest expected group, some 10,000 back ends, home() chooses among 64 buckets and
+  /// then among some 156 back ends, so that both steps are short.
   static constexpr std::size_t kBuckets = 64;
   using Bucket = std::vector<const Backend*>;
 
--- a/src/gateway/backend_statement.h
+++ b/src/gateway/backend_statement.h
@@ -26,7 +26,7 @@
   std::string text;  ///< The malformed value, truncated.
 };
 
-/// Everything that one response head says.
+/// What a response head says about the back end and the request; other headers are not included.
 struct BackendStatement {
   std::optional<ReportedLoad> load;
   RateStatement rate_limit;
@@ -36,7 +36,8 @@
   bool not_run = false;            ///< The request did not run at the back end and will not.
   bool misdirected = false;  ///< Another back end answers at the address; no other header of the
                              ///< response is evaluated.
-  bool is_signed = false;    ///< The back end ran the request, with or without success.
+  bool is_signed = false;  ///< The response has the signature header. The back end ran the request,
+                           ///< with or without success, unless `not_run` is set.
 };
 
 /// Parses a decimal number of seconds, rounded up to a whole nanosecond. Returns none for anything
--- a/src/gateway/cache_sources.h
+++ b/src/gateway/cache_sources.h
@@ -13,8 +13,8 @@
 
 namespace ochrespring::gateway {
 
-/// The engines of one service that are assumed to have most of one prompt's shared parts cached.
-/// Created for a single placement decision; has no side effects.
+/// The engines of one service that are assumed to have the longest cached prefix of one prompt's
+/// shared parts. Created for a single placement decision; has no side effects.
 ///
 ///   const CacheSources sources(fleet, loads, ServiceName("llm"), prompt, now);
 ///   if (const Backend* source = sources.best_for(engine)) { /* `engine` may fetch from it */ }
@@ -27,10 +27,11 @@
   CacheSources(const std::vector<const Backend*>& engines, const LoadTable& loads,
                const Prompt& prompt, MonotonicTime now);
 
-  /// Shared tokens that `best_for(engine)` has cached; 0 without one.
+  /// Number of tokens of the prefix that best_for(engine) has cached; 0 if it returns null.
   std::uint64_t tokens_for(const Backend& engine) const;
-  /// The engine to fetch from: one in the zone of `engine` is preferred, then the one that used the
-  /// parts last. Null: no other engine has any cached.
+  /// Returns the engine to fetch from among those with the longest cached prefix: one in the zone
+  /// of `engine` is preferred, then the one that used the prefix last. Null: no engine but `engine`
+  /// has that prefix; others may have a shorter one.
   const Backend* best_for(const Backend& engine) const;
 
  private:
--- a/src/gateway/cache_survey.h
+++ b/src/gateway/cache_survey.h
@@ -12,11 +12,13 @@
 
 namespace ochrespring::gateway {
 
-/// Queries each engine once and ignores engines that do not answer. Nodes that start together share
-/// the work: each queries its own part of the engines and announces what they have cached, since
-/// listing the cache delays the engine's other work. Used from one event loop.
+/// Queries each engine once, since listing the cache delays its other work. Nodes that start
+/// together divide the engines among themselves and announce the results. Engines that do not
+/// answer are ignored. Used from one event loop.
 class CacheSurvey {
  public:
+  /// Sends a request to an engine; calls the callback with the response body, or not at all on
+  /// failure.
   using Fetch = std::function<void(const BackendId& engine, http::ClientRequest,
                                    std::function<void(std::string body)>)>;
 
--- a/src/gateway/candidates.h
+++ b/src/gateway/candidates.h
@@ -17,21 +17,24 @@
 /// Back ends that may receive a request.
 struct Candidates {
   std::vector<const Backend*> backends;
-  /// The back end that all nodes rank first for the prompt's shared part; null: there is none.
+  /// The back end that all nodes rank first for the prompt's shared prefix, among the back ends
+  /// that they consider: nodes with another view of their health may differ. Null: there is none.
   const Backend* home = nullptr;
 };
 
-/// Finds candidates. In a small fleet all back ends are candidates. In a large one they are those
-/// assumed to have the prompt cached, its home, and a random sample: among thousands of mostly idle
-/// engines the cache and the home decide, and elsewhere the best of a small sample is as good as
-/// the best of all. Ejected and other avoided back ends are used only if there is no alternative.
-/// Has no side effects.
+/// Finds the candidates for a request among the back ends of a service and role that may receive
+/// it. In a small fleet, and for requests without a prompt in a small service, all of them are
+/// candidates. Otherwise the candidates are those assumed to have the prompt cached, its home, and
+/// a random sample: among thousands of mostly idle engines the cache and the home decide, and
+/// elsewhere the best of a small sample is as good as the best of all. If these are none, all are
+/// candidates. Ejected, mostly refusing and distrusted back ends are candidates only if there are
+/// no others. Changes no state but that of `random`.
 class CandidateFinder {
  public:
   struct Query {
     ServiceName service;
-    const Prompt* prompt = nullptr;  ///< Null: an ordinary request.
-    const std::set<BackendId>* avoid = nullptr;
+    const Prompt* prompt = nullptr;              ///< Null: the request is not for a model engine.
+    const std::set<BackendId>* avoid = nullptr;  ///< Never candidates; must not be null.
     /// Engines that have parts of the prompt cached, unless considers_all(); see holders().
     std::vector<const Backend*> holders{};
     const SendGate* gate = nullptr;  ///< Null: all back ends accept requests.
@@ -52,7 +55,7 @@
   /// Size of the random sample. With a third of all engines busy, one in 3^16 samples has no idle
   /// one; with five zones it holds three engines of each on average.
   static constexpr std::size_t kSampleSize = 16;
-  /// Limit on engines that have a part cached; usually there are one or two.
+  /// Maximum number of engines considered that have a part cached; usually there are one or two.
   static constexpr std::size_t kMaxHolders = 16;
 
   Candidates full_scan(const Query& query, bool prefill, MonotonicTime now) const;
--- a/src/gateway/engine_observer.h
+++ b/src/gateway/engine_observer.h
@@ -40,9 +40,11 @@
                                                  std::uint64_t tokens) const = 0;
   virtual void note_gaps(const GapObservation& observation, MonotonicTime now) = 0;
   virtual void note_prefill(const PrefillObservation& observation, MonotonicTime now) = 0;
-  /// An engine has reported its pace: the duration of work in percent of normal.
+  /// An engine has reported its pace: the duration of work in percent of normal, 250 if it
+  /// takes 2.5 times as long.
   virtual void note_pace(const BackendId& engine, std::uint32_t percent, MonotonicTime now) = 0;
-  /// A stream has many remaining events. Each call is matched by one of end_long_stream().
+  /// Notes that a stream has become long: at least StreamObservation::kLongStreamEvents events
+  /// are expected to remain. Each call is followed by one of end_long_stream().
   virtual void begin_long_stream(const BackendId& engine, MonotonicTime now) = 0;
   virtual void end_long_stream(const BackendId& engine, MonotonicTime now) = 0;
 };
--- a/src/gateway/engine_profiles.h
+++ b/src/gateway/engine_profiles.h
@@ -10,9 +10,10 @@
 namespace ochrespring::gateway {
 
 /// Profile of one incarnation of an engine. Times are for undisturbed work and have to be
-/// multiplied by the reported pace (ReportedLoad::pace_percent).
+/// multiplied by the reported pace, the current duration of work relative to normal
+/// (ReportedLoad::pace_percent).
 struct EngineProfile {
-  /// Between two output tokens of a stream while the engine prefills no prompt.
+  /// Time between two output tokens of a stream while the engine prefills no prompt.
   Duration output_token{};
   /// Prefill time per prompt token while the engine does nothing else; zero: unknown.
   Duration prompt_token{};
--- a/src/gateway/fleet_state.cc
+++ b/src/gateway/fleet_state.cc
@@ -73,12 +73,12 @@
 }
 
 void FleetState::replace(std::vector<Backend> listed) {
-  std::map<BackendId, Backend> fresh;
+  std::map<BackendId, Backend> replaced;
   for (Backend& backend : listed) {
     BackendId id = backend.id;
-    fresh.emplace(std::move(id), std::move(backend));
+    replaced.emplace(std::move(id), std::move(backend));
   }
-  backends_.swap(fresh);
+  backends_.swap(replaced);  // Now `replaced` holds the previous back ends.
   index_.clear();
   for (const auto& [id, backend] : backends_) {
     removed_ids_.erase(id);
@@ -86,11 +86,11 @@
       note_leaving(id);
     }
     index_.add(backend);
-    if (!fresh.contains(id)) {
+    if (!replaced.contains(id)) {
       note_added(backend);
     }
   }
-  for (const auto& [id, backend] : fresh) {
+  for (const auto& [id, backend] : replaced) {
     if (!backends_.contains(id)) {
       note_removed(backend);
     }
--- a/src/gateway/fleet_state.h
+++ b/src/gateway/fleet_state.h
@@ -17,10 +17,13 @@
 
 namespace ochrespring::gateway {
 
+/// Active configuration and registered back ends, as this node knows them. Used from one event
+/// loop.
 class FleetState {
  public:
   /// Applies a configuration if it is newer than the active one or, if `same_version_allowed`, has
-  /// the same version; returns whether it was applied.
+  /// the same version: an operator may publish another document of that version after the store was
+  /// rolled back. Returns whether it was applied.
   bool apply(Configuration configuration, bool same_version_allowed = false);
   /// Adds or replaces a back end; returns whether anything changed.
   bool put(Backend backend);
@@ -35,9 +38,10 @@
   const Backend* find(const BackendId& id) const;
   /// The known incarnations of a back end, usually one.
   std::vector<BackendId> incarnations_of(std::string_view name) const;
-  /// Whether a back end has announced that it is leaving. This is final for its incarnation: if the
-  /// store later says otherwise, it was restored from an older copy or a delayed write has
-  /// overwritten the entry, and a leaving back end must get no new requests.
+  /// Whether a back end has announced that it is leaving. This holds while its incarnation is
+  /// registered: if the store later says otherwise, it was restored from an older copy or a delayed
+  /// write has overwritten the entry, and a leaving back end must get no new requests. Ids of back
+  /// ends that are no longer registered may be dropped, see kMaxRememberedIds.
   bool is_leaving(const Backend& backend) const {
     return backend.draining || leaving_.contains(backend.id);
   }
@@ -46,9 +50,9 @@
   void note_leaving(const BackendId& id);
   /// The back ends that have announced it, registered or not.
   const std::set<BackendId>& leaving() const { return leaving_; }
-  /// The store was restored from an older copy, which may list back ends that have terminated
-  /// since. Until `until`, back ends that have been removed are distrusted if they are listed
-  /// again.
+  /// Handles a restore of the store from an older copy, which may list back ends that have
+  /// terminated since. Until `until`, back ends removed before the restore are distrusted if they
+  /// are listed again.
   void distrust_removed(MonotonicTime until);
   /// Whether a back end may have terminated although it is listed; it is then used only if there is
   /// no alternative.
@@ -76,7 +80,7 @@
   std::shared_ptr<const RouteTable> routes_;
   std::map<BackendId, Backend> backends_;
   BackendIndex index_;               ///< Index of `backends_`.
-  std::set<BackendId> leaving_;      ///< All that have announced it, including removed ones.
+  std::set<BackendId> leaving_;      ///< Those that have announced it, including removed ones.
   std::set<BackendId> removed_ids_;  ///< Removed since the store was last rolled back.
   std::set<BackendId> distrusted_;   ///< Removed before that.
   MonotonicTime distrusted_until_{};
--- a/src/gateway/gap_forecast.cc
+++ b/src/gateway/gap_forecast.cc
@@ -14,7 +14,8 @@
 /// send meanwhile.
 constexpr double kOnTimeFraction = 0.75;
 constexpr double kLateFraction = 0.95;
-/// Share of late gaps; at 1%, a stream of 70 events has a 50% chance to stay on time.
+/// Share of late gaps below which an engine suits long streams. At 1%, a stream of 70 events stays
+/// on time with a probability of 50%.
 constexpr double kMaxTypicalLateShare = 0.01;
 /// Steepness of the probability that a stream ends before its deadline, over the ratio of the time
 /// left to the estimated time. At 3, half of the streams are longer than callers estimate and one
--- a/src/gateway/header_names.h
+++ b/src/gateway/header_names.h
@@ -7,12 +7,15 @@
 
 namespace ochrespring::gateway {
 
+/// Names of these headers, and the value of `phase`.
 struct HeaderNames {
   std::string request_id = "x-request-id";
   std::string deadline = "x-deadline-ms";  ///< Milliseconds that the caller waits.
+  /// In a response: the request did not run at the back end and will not.
   std::string not_run = "x-ochrespring-not-run";
   /// In every response to a request that a back end ran.
   std::string signature = "x-ochrespring-signature";
+  /// Back end for which a request is meant; another one answers 421.
   std::string expected_instance = "x-ochrespring-expected-instance";
   /// Running requests, waiting requests, and slots, separated by commas.
   std::string load = "x-ochrespring-load";
@@ -29,8 +32,9 @@
   std::string output_estimate = "x-ochrespring-output-estimate";
   std::string priority = "x-ochrespring-priority";  ///< 0 to 9; 0 is the most urgent.
   std::string phase = "x-ochrespring-phase";
-  std::string phase_prefill = "prefill";                    ///< Value of `phase`: prefill only.
-  std::string cache_source = "x-ochrespring-cache-source";  ///< IP:PORT/HANDLE.
+  std::string phase_prefill = "prefill";  ///< Value of `phase`: prefill only.
+  /// IP:PORT/HANDLE of the KV cache that a prefill engine has created for the request.
+  std::string cache_source = "x-ochrespring-cache-source";
   /// IP:PORT of an engine from which to fetch cached parts before the prefill.
   std::string cache_fetch = "x-ochrespring-cache-fetch";
   /// IP:PORT of an engine to which the KV cache of a stream is replicated as it grows.
--- a/src/gateway/header_rules.h
+++ b/src/gateway/header_rules.h
@@ -9,12 +9,13 @@
 
 namespace ochrespring::gateway {
 
-/// Returns a caller's headers as they are sent to a back end: without connection headers, headers
-/// that HTTP framing adds again, and headers that only the gateway may set.
+/// Returns a caller's headers as they are sent to a back end: without connection and framing
+/// headers, `expect`, and headers that only the gateway may set.
 std::vector<http::Header> headers_for_backend(const std::vector<http::Header>& headers,
                                               const HeaderNames& names);
 
-/// Returns a back end's headers as they are sent to the caller: without connection headers.
+/// Returns a back end's headers as they are sent to the caller: without connection and
+/// framing headers.
 std::vector<http::Header> headers_for_caller(const std::vector<http::Header>& headers);
 
 }  // namespace ochrespring::gateway
--- a/src/gateway/load_table.cc
+++ b/src/gateway/load_table.cc
@@ -36,9 +36,9 @@
 /// Engines evict the least recently used parts, and only when their memory is full: a part is
 /// assumed to be cached, however old, while at most this many other parts have been prefilled
 /// there. The smallest memory in use holds 305,000 tokens, that is 18 prompts of 17,000; a prompt
-/// has one to two shared parts. By age alone, with 9,695 engines and 316 prompts per second, a
-/// quarter of the parts recurred after more than `kAssumedCacheTime` and were prefilled again
-/// elsewhere, though the engine had prefilled only one prompt since.
+/// has one to two shared parts. With a limit on age alone, at 9,695 engines and 316 prompts per
+/// second, a quarter of the parts would recur after more than `kAssumedCacheTime` and be prefilled
+/// again elsewhere, although the engine has prefilled only one prompt since.
 constexpr std::uint64_t kMaxNewerParts = 10;
 /// Limit on that assumption: an engine may evict parts for other reasons.
 constexpr Duration kMaxAssumedCacheTime = seconds(120);
--- a/src/gateway/load_table.h
+++ b/src/gateway/load_table.h
@@ -25,7 +25,8 @@
   std::uint32_t running = 0;
   std::uint32_t waiting = 0;
   std::uint32_t slots = 1;
-  std::uint32_t pace_percent = 100;  ///< Current duration of work in percent of normal.
+  /// Current duration of work in percent of normal: at 250 it takes 2.5 times as long.
+  std::uint32_t pace_percent = 100;
 };
 
 /// Parses `RUNNING,WAITING,SLOTS` or `RUNNING,WAITING,SLOTS,PACE`.
@@ -52,15 +53,19 @@
 /// Load and health of one back end, as this node knows them.
 class BackendLoad {
  public:
+  /// Records the start of an attempt that has to prefill `prefill_tokens`.
   void begin(std::uint64_t prefill_tokens);
   /// Prefill of these tokens is over: the first event arrived, or the attempt ended.
   void note_prefilled(std::uint64_t prefill_tokens);
+  /// Records the end of an attempt. If its prefill is still pending, note_prefilled() has to be
+  /// called too.
   void end(AttemptOutcome outcome, MonotonicTime now);
   /// The back end has stopped acknowledging what is sent to it; ejects it for a while.
   void note_unresponsive(MonotonicTime now);
   void note_report(const ReportedLoad& load, MonotonicTime now);
 
-  /// Requests of other nodes at the last report, with a weight that decreases with its age.
+  /// Estimated number of requests of other nodes, from the last load report; decreases with the age
+  /// of the report.
   double reported_others(MonotonicTime now) const;
   std::uint32_t in_flight() const { return in_flight_; }
   std::uint64_t pending_prefill_tokens() const { return pending_prefill_tokens_; }
@@ -150,37 +155,45 @@
 /// Load and health of all back ends that one node knows.
 class LoadTable {
  public:
+  /// Returns the load of a back end; adds an idle entry if there is none.
   BackendLoad& find_or_create(const BackendId& id) { return loads_[id]; }
   const BackendLoad* find(const BackendId& id) const;
   const std::map<BackendId, BackendLoad>& all() const { return loads_; }
   void forget(const BackendId& id) { loads_.erase(id); }
 
-  /// These update the back end's BackendLoad and call the callbacks. Except for begin(), they have
-  /// no effect on a back end that has been forgotten, such as one removed while a request was
-  /// running.
+  // begin(), note_prefilled(), end(), note_report() and note_unresponsive() update the back end's
+  // BackendLoad. All but begin() ignore a back end that is not in the table, such as one removed
+  // while a request was running.
+
+  /// Calls the callback of on_change().
   void begin(const BackendId& id, std::uint64_t prefill_tokens);
+  /// Calls the callback of on_change(), unless `prefill_tokens` is zero.
   void note_prefilled(const BackendId& id, std::uint64_t prefill_tokens);
+  /// Calls the callback of on_change() and, depending on the outcome, those of on_end() and
+  /// on_unresponsive().
   void end(const BackendId& id, AttemptOutcome outcome, MonotonicTime now);
+  /// Calls no callback.
   void note_report(const BackendId& id, const ReportedLoad& load, MonotonicTime now);
-
+  /// Calls the callback of on_unresponsive().
   void note_unresponsive(const BackendId& id, MonotonicTime now);
   /// Sets the callback for a back end that has become unresponsive, unreachable or replaced.
   void on_unresponsive(std::function<void(const BackendId&)> callback) {
     unresponsive_callback_ = std::move(callback);
   }
 
-  /// Records the shared parts of a prompt that a back end prefills.
+  /// Records the shared parts of a prompt that a back end prefills, as note_parts() does.
   void note_prompt(const BackendId& id, const Prompt& prompt, MonotonicTime now);
   /// The back end did not prefill a prompt that was sent to it at `sent`: removes its parts, except
   /// those recorded before.
   void forget_prompt(const BackendId& id, const Prompt& prompt, MonotonicTime sent);
-  /// Records one part that a back end has cached, as another node reports.
+  /// Records one part that a back end has cached. Calls no callback, so that a part which another
+  /// node reports is not announced again.
   void note_cached(const BackendId& id, std::uint64_t part_key, MonotonicTime now);
   /// Back ends that are assumed to have a part cached: all if there are at max_count `max_count`,
   /// otherwise a random selection of `max_count`.
   std::vector<BackendId> holders(std::uint64_t part_key, std::size_t max_count, MonotonicTime now,
                                  RandomSource& random) const;
-  /// Records cached parts by their keys.
+  /// Records cached parts by their keys and calls the callback of on_parts_cached().
   void note_parts(const BackendId& id, const std::vector<std::uint64_t>& keys, MonotonicTime now);
   /// Sets the callback for parts that a back end prefills or is found to have cached.
   void on_parts_cached(
@@ -188,7 +201,7 @@
     parts_cached_callback_ = std::move(callback);
   }
 
-  /// Sets the callback for attempts that ended in success or failure.
+  /// Sets the callback for attempts that ended with `kSucceeded` or `kFailed`.
   void on_end(std::function<void(const BackendId&, bool failed)> callback) {
     attempt_ended_callback_ = std::move(callback);
   }
--- a/src/gateway/placement.cc
+++ b/src/gateway/placement.cc
@@ -9,20 +9,24 @@
 
 namespace {
 
+// Unless stated otherwise, costs are in prefill tokens: the time in which an idle prefill engine
+// prefills one token.
+
 /// Prefill cost at an engine that also decodes: it prefills at half the speed.
 constexpr double kRunnerPrefillCost = 2;
 /// Share of the prefill cost that each other stream at the engine adds: between its tokens each one
 /// waits for a chunk of the prefill.
 constexpr double kSlowdownPerStream = 0.25;
-/// Cost in tokens of one request that already runs at an engine: each slows every step a little.
+/// Cost of one request that already runs at an engine: each slows every step a little.
 constexpr double kTokensPerRunning = 60;
-/// Cost in tokens of one request at a prefill engine that only the engine's own load report shows.
+/// Pending prefill tokens assumed for each request that a prefill engine's load report shows but no
+/// node reports.
 constexpr double kTokensPerUnreportedPrefill = 2'000;
-/// Cost in tokens of one waiting request of other nodes.
+/// Cost of one waiting request of other nodes.
 constexpr double kTokensPerWaiting = 3'000;
-/// Cost in tokens of certain failure.
+/// Cost at a failure share of 1.
 constexpr double kTokensPerFailure = 60'000;
-/// Cost in tokens of a stream that is certainly late: less than that of one that fails, since a
+/// Cost of a stream that is certainly late: less than that of one that fails, since a
 /// late answer is of some use to most callers.
 constexpr double kTokensPerLateStream = 40'000;
 /// A stream with fewer events counts as short: it ends within a fraction of a second.
@@ -32,19 +36,19 @@
 /// Relative prefill times that differ from 1 by less are ignored: estimates for identical engines
 /// nearly always stay within a fifth of their median.
 constexpr double kPrefillTimeNoise = 0.3;
-/// Cost in tokens of certain refusal: the request needs a retry, which the retry budget may not
+/// Cost at a refusal share of 1: the request needs a retry, which the retry budget may not
 /// allow.
 constexpr double kTokensPerRefusal = 40'000;
-/// Cost in tokens of a separate prefill: a second call and the setup of the cache transfer.
+/// Cost of a separate prefill: a second call and the setup of the cache transfer.
 constexpr double kHandOverTokens = 1'500;
-/// Cost in tokens of transferring one token's cache.
+/// Cost of transferring one token's cache.
 constexpr double kTransferCost = 0.04;
 /// Below this number of tokens, prefill is faster than a fetch from another engine.
 constexpr std::uint64_t kMinFetchTokens = 800;
-/// Cost in tokens of a fetch, and of one token fetched.
+/// Cost of a fetch, and of one token fetched.
 constexpr double kFetchTokens = 600;
 constexpr double kFetchTokenCost = 0.4;
-/// Cost in tokens of a new connection.
+/// Cost of a new connection.
 constexpr double kNewConnectionTokens = 300;
 /// Factor on the cost of a transfer between zones.
 constexpr double kOtherZoneTransfer = 2;
@@ -53,8 +57,8 @@
 /// kBusyPrefillFactor.
 constexpr double kExtraReprefillCost = 1.5;
 /// Full contention is reached when half of the prefill engines have pending work. While they are
-/// idle, a cold prompt of 17,000 tokens is prefilled there in 0.5 s; at full extra cost it went to
-/// an engine that also decodes, at half the speed.
+/// idle, they prefill an uncached prompt of 17,000 tokens in 0.5 s; with the full extra cost it
+/// would go to an engine that also decodes, at half the speed.
 constexpr double kBusyPrefillFactor = 2;
 /// Share of a prompt's uncached shared tokens that is assumed missing at its home, where other
 /// nodes may have sent them.
@@ -63,10 +67,12 @@
 constexpr double kOtherZoneCost = 0.25;
 /// Cost factor of a back end that has just started.
 constexpr double kColdBackendCost = 1.6;
-/// Cost of certain failure for an ordinary service, in requests per slot.
+/// Cost at a failure share of 1 for an ordinary service, in requests per slot.
 constexpr double kOrdinaryFailureCost = 6;
-/// Cost of certain refusal for an ordinary service, in requests per slot.
+/// Cost at a refusal share of 1 for an ordinary service, in requests per slot.
 constexpr double kOrdinaryRefusalCost = 3;
+/// Maximum random addition to the cost factor, so that nodes do not all choose the same one of
+/// equal back ends.
 constexpr double kMaxRandomCostFactor = 0.02;
 /// Requests per slot that may wait at a back end of an ordinary service, so that it has work until
 /// the gateway learns of a free slot.
@@ -402,8 +408,8 @@
   return choice;
 }
 
-/// The workload that other nodes report is exact; a back end's own load report is used where it
-/// shows more, as when messages of a node do not arrive.
+/// Prefers the workload that other nodes report, which is exact when it arrives. Requests that only
+/// the back end's load report shows are added, since reports of a node may be lost.
 Placement::TotalWorkload Placement::workload_at(const Backend& backend, MonotonicTime now) const {
   const BackendLoad& load = load_of(backend);
   const EngineWorkload peers = loads_.others(backend.id, now);
--- a/src/gateway/placement.h
+++ b/src/gateway/placement.h
@@ -25,9 +25,9 @@
 /// The request that is to be placed.
 struct PlacementRequest {
   ServiceName service;
-  const Prompt* prompt = nullptr;      ///< Null: an ordinary request.
+  const Prompt* prompt = nullptr;      ///< Null: the request is not for a model engine.
   bool allow_separate_prefill = true;  ///< Whether a prefill engine may prefill the prompt first.
-  std::set<BackendId> avoid;           ///< Back ends already tried.
+  std::set<BackendId> avoid;           ///< Back ends already tried; never chosen.
   const SendGate* gate = nullptr;      ///< Null: all back ends accept requests.
   /// For a stream at engines whose number of tokens per event is known; none: gaps between events
   /// and stream ends are not predicted.
@@ -42,9 +42,11 @@
 struct PlacementChoice {
   const Backend* backend = nullptr;  ///< Null: no back end may take the request.
   std::uint64_t prefill_tokens = 0;  ///< Of the prompt, to be prefilled there.
-  /// Has cached shared parts that are worth fetching first.
+  /// Engine from which `backend` should fetch cached shared parts before its prefill; null: none.
   const Backend* fetch_source = nullptr;
-  double cost = 0;  ///< In prefill tokens, or in requests per slot.
+  /// For model engines in prefill tokens, for other services in requests per slot; with
+  /// PlacementRequest::fewest_requests_only in requests.
+  double cost = 0;
 };
 
 /// The back end that runs a request and, if that is cheaper, the engine that prefills its prompt
@@ -77,8 +79,9 @@
     Duration target_latency{};                 ///< To the first event of a stream.
     const EngineProfiles* profiles = nullptr;  ///< Null: only slots count.
   };
-  /// Whether the chosen back ends, or otherwise any others, are predicted to serve the request
-  /// within its target latency. Draws random numbers only if the chosen back ends are not.
+  /// Returns whether the back ends of `plan`, or any other candidates, are predicted to serve the
+  /// request within its target latency. `plan` must have a runner. Draws random numbers only if the
+  /// back ends of `plan` are not.
   bool has_room(const CapacityQuery& query, const PlacementPlan& plan, MonotonicTime now) const;
 
  private:
@@ -98,7 +101,8 @@
     const CacheSources& sources;
     const PlacementRequest& request;
     const Backend* home = nullptr;
-    /// Cost per token of a shared part that is prefilled again, in addition to the time.
+    /// Extra cost per token of prefilling a shared part that another engine may have cached; added
+    /// to the prefill time.
     double reprefill_cost = 0;
     /// Share of the engines, 0 to 1, that cannot keep the target gap of long streams.
     double unsuited_share = 0;
--- a/src/gateway/prompt.h
+++ b/src/gateway/prompt.h
@@ -28,7 +28,8 @@
   std::uint64_t own_tokens() const { return tokens - shared_tokens(); }
 };
 
-/// Parses `ID:TOKENS,...` and `PROMPT,OUTPUT`; malformed values are ignored.
+/// Parses `ID:TOKENS,...` and `PROMPT,OUTPUT`. A malformed number counts as 0; parts without an id
+/// are skipped.
 /// `estimate` is the estimated number of output tokens; may be empty.
 Prompt parse_prompt(std::string_view parts, std::string_view counts,
                     std::string_view estimate = {});
--- a/src/gateway/prompt_cache.h
+++ b/src/gateway/prompt_cache.h
@@ -11,7 +11,8 @@
 
 namespace ochrespring::gateway {
 
-/// Belongs to one request; used from one event loop.
+/// Holds the handle of the KV cache that a prefill engine created for one request, and releases the
+/// cache if it is not used. Used from one event loop.
 class PrefillCacheHolder {
  public:
   /// `environment` must outlive this object.
--- a/src/gateway/rate_limit_header.h
+++ b/src/gateway/rate_limit_header.h
@@ -33,13 +33,14 @@
 /// What the headers of a response say about the back end's rate limit.
 struct RateStatement {
   enum class Kind : std::uint8_t {
-    kNone,       ///< There is no limit.
+    kNone,       ///< The response has no such header.
     kLimited,    ///< The limit is `rate`.
     kMalformed,  ///< The value is malformed: neither sets nor removes a limit.
   };
   Kind kind = Kind::kNone;
   RequestRate rate;
-  std::string text;  ///< The malformed value.
+  /// The last malformed value, if any; may be set although another header is valid (`kLimited`).
+  std::string text;
 };
 
 /// Of several valid headers with this name the lowest rate applies.
--- a/src/gateway/route_table.cc
+++ b/src/gateway/route_table.cc
@@ -9,6 +9,9 @@
 
 namespace {
 
+/// Minimum target gap of a service without streams.
+constexpr Duration kNoTargetGap = std::chrono::hours(24);
+
 std::string normalise_host(std::string_view host) {
   std::string name(host.substr(0, host.find(':')));
   std::transform(name.begin(), name.end(), name.begin(),
@@ -44,7 +47,7 @@
 
 Duration RouteTable::min_target_gap(const ServiceName& service) const {
   const auto found = min_target_gaps_.find(service);
-  return found == min_target_gaps_.end() ? std::chrono::hours(24) : found->second;
+  return found == min_target_gaps_.end() ? kNoTargetGap : found->second;
 }
 
 KeyCheck RouteTable::check_key(const Route& route, std::string_view authorization) const {
--- a/src/gateway/route_table.h
+++ b/src/gateway/route_table.h
@@ -15,7 +15,7 @@
 /// Result of checking a caller's key.
 struct KeyCheck {
   bool allowed = false;
-  const Tenant* tenant = nullptr;  ///< Null for a request without a key.
+  const Tenant* tenant = nullptr;  ///< Null: no key, an unknown key, or no tenants.
 };
 
 /// Immutable index of the routes and keys of one configuration. A request keeps the table with
--- a/src/gateway/share_picker.h
+++ b/src/gateway/share_picker.h
@@ -9,8 +9,9 @@
 
 namespace ochrespring::gateway {
 
-/// Uses a low-discrepancy sequence for each route, starting at a random position: the shares of
-/// even a few requests are close to the weights, and nodes do not choose in lockstep.
+/// Chooses the service for each request of a route by weight. Uses a low-discrepancy sequence for
+/// each route, starting at a random position: the shares of even a few requests are close to the
+/// weights, and nodes do not choose in lockstep.
 class SharePicker {
  public:
   explicit SharePicker(RandomSource& random) : random_(random) {}
--- a/src/gateway/tests/backend_statement_test.cc
+++ b/src/gateway/tests/backend_statement_test.cc
@@ -108,7 +108,8 @@
   CHECK(statement.backoff.kind == Kind::kNone);
 }
 
-TEST_CASE("the parsed time is never shorter than the number, for any header value") {
+TEST_CASE(
+    "any text is parsed without a crash, and the parsed time is never shorter than the number") {
   CHECK(rc::check([](const std::string& text) { parse_seconds(text); }));
   CHECK(rc::check([](std::uint16_t whole, std::uint64_t fraction) {
     const std::string text = std::to_string(whole) + "." + std::to_string(fraction);
--- a/src/gateway/tests/engine_observer_test.cc
+++ b/src/gateway/tests/engine_observer_test.cc
@@ -140,7 +140,7 @@
 }
 
 TEST_CASE_FIXTURE(ObservedGateway,
-                  "prefill is not observed if the engine may have the shared part cached") {
+                  "prefill is observed only if it is known which parts the engine has cached") {
   add_backend("p1", "llm", EngineRole::kPrefill);
   add_backend("d1", "llm", EngineRole::kDecode);
   const auto call = [&] {
--- a/src/gateway/tests/gap_forecast_test.cc
+++ b/src/gateway/tests/gap_forecast_test.cc
@@ -1,5 +1,5 @@
-// Guards against late streams whose first event is early: placement has to avoid engines that are
-// slow, disturbed, or prefill prompts beside their streams.
+// Tests that placement avoids engines where later events of a stream would be late although the
+// first one is on time: engines that are slow, disturbed, or prefill prompts beside their streams.
 #include "gateway/gap_forecast.h"
 
 #include <doctest/doctest.h>
--- a/src/gateway/tests/large_placement_test.cc
+++ b/src/gateway/tests/large_placement_test.cc
@@ -123,7 +123,7 @@
   }
 }
 
-TEST_CASE("the few remaining engines are found while nearly all are draining") {
+TEST_CASE("the only engine that is not draining is found") {
   LargePlacement fixture;
   for (int i = 0; i != kEngines; ++i) {
     Backend backend = *fixture.fleet.find(BackendId("i-" + std::to_string(i)));
--- a/src/gateway/tests/placement_benchmark.cc
+++ b/src/gateway/tests/placement_benchmark.cc
@@ -1,10 +1,6 @@
 // Measures the time to place one request, by the number of engines. Half of the prompts are cached
-// at some engine.
-//
-// At 100, 1,000, 10,000 and 20,000 engines a placement takes 68, 32, 31 and 59 us (release build,
-// one core of a virtual machine at 2 GHz, one run). A full scan for each request took 62, 835,
-// 8,170 and 16,440 us; on a machine with 0.12 of a core the third of these is 68 ms, for each of
-// two placements.
+// at some engine. Large fleets are sampled, since a full scan of 10,000 engines takes some 8 ms,
+// and 68 ms on 0.12 of a core, for each of two choices.
 #include <benchmark/benchmark.h>
 
 #include <chrono>
--- a/src/gateway/tests/policies_test.cc
+++ b/src/gateway/tests/policies_test.cc
@@ -314,22 +314,22 @@
   const MonotonicTime start{};
   LoadTable loads;
   loads.note_prompt(BackendId("near"), prompt, start);
-  SUBCASE("not while its prefill may still be running") {
+  SUBCASE("a part whose prefill may still run is not fetched") {
     CHECK(CacheSources(fleet, loads, service, prompt, start + 100ms).best_for(target) == nullptr);
   }
-  SUBCASE("from the same zone, even if another engine used the part later") {
+  SUBCASE("an engine in the same zone is preferred even if another engine used the part later") {
     loads.note_prompt(BackendId("far"), prompt, start + 100ms);
     const CacheSources sources(fleet, loads, service, prompt, start + 2s);
     REQUIRE(sources.best_for(target) != nullptr);
     CHECK(sources.best_for(target)->id.value() == "near");
     CHECK(sources.tokens_for(target) == 9000);
   }
-  SUBCASE("never from the engine itself") {
+  SUBCASE("an engine does not fetch from itself") {
     const CacheSources sources(fleet, loads, service, prompt, start + 2s);
     CHECK(sources.best_for(*fleet.find(BackendId("near"))) == nullptr);
     CHECK(sources.tokens_for(*fleet.find(BackendId("near"))) == 0);
   }
-  SUBCASE("not from an unresponsive engine, nor long after the last use") {
+  SUBCASE("a part is not fetched from an unresponsive engine or long after its last use") {
     CHECK(CacheSources(fleet, loads, service, prompt, start + 121s).best_for(target) == nullptr);
     // Earlier if enough other parts have been prefilled there that it may have been evicted.
     for (std::uint64_t other = 0; other != 11; ++other) {
--- a/src/gateway/tests/rate_limit_header_test.cc
+++ b/src/gateway/tests/rate_limit_header_test.cc
@@ -59,7 +59,7 @@
   CHECK(read({""}).kind == Kind::kMalformed);
 }
 
-TEST_CASE("the parsed rate is never above the number, for any header value") {
+TEST_CASE("any text is parsed without a crash, and the parsed rate is never above the number") {
   CHECK(rc::check([](const std::string& text) { parse_rate(text); }));
   CHECK(rc::check([](std::uint32_t whole, std::uint16_t fraction) {
     const std::string text = std::to_string(whole % 1000000000U) + "." + std::to_string(fraction);
--- a/src/gateway/types.h
+++ b/src/gateway/types.h
@@ -13,7 +13,7 @@
 
 namespace ochrespring::gateway {
 
-using BackendId = StrongString<struct BackendIdTag>;  ///< One incarnation of a back end.
+using BackendId = StrongString<struct BackendIdTag>;  ///< Identifies one incarnation of a back end.
 using RouteName = StrongString<struct RouteNameTag>;
 /// Version of the configuration; only increases.
 using ConfigurationVersion = StrongNumber<struct ConfigurationVersionTag>;
@@ -42,8 +42,8 @@
   Duration target_gap{std::chrono::seconds(1)};  ///< Longest gap between events that is on time.
   std::uint32_t priority = 0;                    ///< 0 is the most urgent.
   std::uint32_t max_attempts = 1;  ///< Maximum number of back ends that one request is sent to.
-  bool resumable = false;
-  bool anonymous = false;  ///< Callers need no key, even if tenants are configured.
+  bool resumable = false;          ///< Whether a stream may be resumed at another engine.
+  bool anonymous = false;          ///< Callers need no key, even if tenants are configured.
   std::vector<TrafficShare> shares;
 
   /// Whether a request may run more than once.
@@ -81,10 +81,11 @@
   std::map<ZoneName, double> zone_prices{};
 };
 
+/// A service and the settings of its back ends.
 struct Service {
   ServiceName name;
   std::uint32_t max_connections = 100;     ///< To one back end, for all callers together.
-  std::optional<EngineShape> engine{};     ///< None: an ordinary service.
+  std::optional<EngineShape> engine{};     ///< None: an ordinary service, without model engines.
   std::optional<ServerScaling> scaling{};  ///< None: the service is not scaled.
 };
 
@@ -94,6 +95,7 @@
   Duration idle_timeout{std::chrono::seconds(15)};
 };
 
+/// The configuration that operators publish, as a whole.
 struct Configuration {
   ConfigurationVersion version;
   std::vector<Route> routes;
@@ -114,8 +116,8 @@
   Endpoint address;
   ZoneName zone;
   std::uint32_t slots = 1;
-  bool draining = false;
-  bool cold = false;  ///< Recently started, and slow for a while.
+  bool draining = false;  ///< Registered as leaving: takes no new requests.
+  bool cold = false;      ///< Recently started, and slow for a while.
   EngineRole role = EngineRole::kNone;
   bool preemptible = false;  ///< May be terminated by the platform at short notice.
 
