--- a/src/gateway/header_rules.h
+++ b/src/gateway/header_rules.h
@@ -14,8 +14,8 @@
 std::vector<http::Header> headers_for_backend(const std::vector<http::Header>& headers,
                                               const HeaderNames& names);
 
-/// Returns a back end's headers as they are sent to the caller: without connection and
-/// framing headers.
+/// Returns a back end's headers as they are sent to the caller: without connection and framing
+/// headers.
 std::vector<http::Header> headers_for_caller(const std::vector<http::Header>& headers);
 
 }  // namespace ochrespring::gateway
--- a/src/gateway/placement.cc
+++ b/src/gateway/placement.cc
@@ -26,8 +26,8 @@
 constexpr double kTokensPerWaiting = 3'000;
 /// Cost at a failure share of 1.
 constexpr double kTokensPerFailure = 60'000;
-/// Cost of a stream that is certainly late: less than that of one that fails, since a
-/// late answer is of some use to most callers.
+/// Cost of a stream that is certainly late: less than that of one that fails, since a late
+/// answer is of some use to most callers.
 constexpr double kTokensPerLateStream = 40'000;
 /// A stream with fewer events counts as short: it ends within a fraction of a second.
 constexpr double kMinLongStreamEvents = 4;
@@ -36,8 +36,7 @@
 /// Relative prefill times that differ from 1 by less are ignored: estimates for identical engines
 /// nearly always stay within a fifth of their median.
 constexpr double kPrefillTimeNoise = 0.3;
-/// Cost at a refusal share of 1: the request needs a retry, which the retry budget may not
-/// allow.
+/// Cost at a refusal share of 1: the request needs a retry, which the retry budget may not allow.
 constexpr double kTokensPerRefusal = 40'000;
 /// Cost of a separate prefill: a second call and the setup of the cache transfer.
 constexpr double kHandOverTokens = 1'500;
