--- a/src/gateway/placement.h
+++ b/src/gateway/placement.h
@@ -25,9 +25,9 @@
 /// The request that is to be placed.
 struct PlacementRequest {
   ServiceName service;
-  const Prompt* prompt = nullptr;      ///< Null: an ordinary request.
+  const Prompt* prompt = nullptr;      ///< Null: the request is not for a model engine.
   bool allow_separate_prefill = true;  ///< Whether a prefill engine may prefill the prompt first.
-  std::set<BackendId> avoid;           ///< Back ends already tried.
+  std::set<BackendId> avoid;           ///< Back ends already tried; never chosen.
   const SendGate* gate = nullptr;      ///< Null: all back ends accept requests.
   /// For a stream at engines whose number of tokens per event is known; none: gaps between events
   /// and stream ends are not predicted.
@@ -42,9 +42,11 @@
 struct PlacementChoice {
   const Backend* backend = nullptr;  ///< Null: no back end may take the request.
   std::uint64_t prefill_tokens = 0;  ///< Of the prompt, to be prefilled there.
-  /// Has cached shared parts that are worth fetching first.
-  const Backend* cache_source = nullptr;
-  double cost = 0;  ///< In prefill tokens, or in requests per slot.
+  /// Engine from which `backend` should fetch cached shared parts before its prefill; null: none.
+  const Backend* fetch_source = nullptr;
+  /// For model engines in prefill tokens, for other services in requests per slot; with
+  /// PlacementRequest::fewest_requests_only in requests.
+  double cost = 0;
 };
 
 /// The back end that runs a request and, if that is cheaper, the engine that prefills its prompt
@@ -77,8 +79,9 @@
     Duration target_latency{};                 ///< To the first event of a stream.
     const EngineProfiles* profiles = nullptr;  ///< Null: only slots count.
   };
-  /// Whether the chosen back ends, or otherwise any others, are predicted to serve the request
-  /// within its target latency. Draws random numbers only if the chosen back ends are not.
+  /// Returns whether the back ends of `plan`, or any other candidates, are predicted to serve the
+  /// request within its target latency. `plan` must have a runner. Draws random numbers only if the
+  /// back ends of `plan` are not.
   bool has_room(const CapacityQuery& query, const PlacementPlan& plan, MonotonicTime now) const;
 
  private:
@@ -93,54 +96,56 @@
   /// Share of these engines that have pending prefill work, 0 to 1.
   double busy_share(const Backends& engines, MonotonicTime now) const;
   /// A prompt, its home, and the engines that have its shared parts cached.
-  struct PromptView {
+  struct PromptContext {
     const Prompt& prompt;
     const CacheSources& sources;
     const PlacementRequest& request;
     const Backend* home = nullptr;
-    /// Cost per token of a shared part that is prefilled again, in addition to the time.
-    double cold_cost = 0;
+    /// Extra cost per token of prefilling a shared part that another engine may have cached; added
+    /// to the prefill time.
+    double reprefill_cost = 0;
     /// Share of the engines, 0 to 1, that cannot keep the target gap of long streams.
     double unsuited_share = 0;
   };
   /// Cost of prefilling and running the prompt at `backend`, or, with a `prefill_engine`, of
   /// transferring the cache from there and only running it.
-  PlacementChoice estimate_runner(const Backend& backend, const PromptView& view,
+  PlacementChoice estimate_runner(const Backend& backend, const PromptContext& prompt_context,
                                   const Backend* prefill_engine, MonotonicTime now) const;
-  PlacementChoice estimate_prefill(const Backend& backend, const PromptView& view,
+  PlacementChoice estimate_prefill(const Backend& backend, const PromptContext& prompt_context,
                                    MonotonicTime now) const;
   PlacementChoice estimate_ordinary(const Backend& backend, MonotonicTime now) const;
   /// Tokens of a prompt that an engine has to prefill and to fetch.
   struct PrefillWork {
     std::uint64_t prefill_tokens = 0;
     std::uint64_t fetched_tokens = 0;
-    const Backend* cache_source = nullptr;  ///< Null: there is nothing worth fetching.
+    const Backend* fetch_source = nullptr;  ///< Null: there is nothing worth fetching.
   };
-  PrefillWork prefill_work_at(const Backend& backend, const PromptView& view,
+  PrefillWork prefill_work_at(const Backend& backend, const PromptContext& prompt_context,
                               MonotonicTime now) const;
   const BackendLoad& load_of(const Backend& backend) const;
   /// Requests and pending prefill tokens of all nodes at a back end.
-  struct Work {
+  struct TotalWorkload {
     double requests = 0;
     double pending_prefill_tokens = 0;
   };
-  Work work_at(const Backend& backend, MonotonicTime now) const;
+  TotalWorkload workload_at(const Backend& backend, MonotonicTime now) const;
   /// Time that a prefill engine takes per token, relative to the median of its service. Not used
   /// for engines that also decode: it would move prompts to the fast ones, which long streams need.
   double relative_prefill_time(const Backend& backend, const PlacementRequest& request,
                                MonotonicTime now) const;
   /// Predicted cost of a stream at an engine, in prefill tokens: its own lateness, the lateness of
   /// streams that its prefill delays, and its wait for a slot.
-  double stream_cost(const Backend& backend, const PromptView& view, const Work& work,
-                     std::uint64_t prefill_tokens, MonotonicTime now) const;
+  double stream_cost(const Backend& backend, const PromptContext& prompt_context,
+                     const TotalWorkload& work, std::uint64_t prefill_tokens,
+                     MonotonicTime now) const;
   /// Cost of a short stream that occupies a slot at an engine suited to long streams.
-  double scarce_slot_cost(const Backend& backend, const PromptView& view, const Work& work,
-                          const GapForecast& forecast) const;
+  double scarce_slot_cost(const Backend& backend, const PromptContext& prompt_context,
+                          const TotalWorkload& work, const GapForecast& forecast) const;
   std::optional<GapForecast> forecast_at(const Backend& backend, const PlacementRequest& request,
                                          MonotonicTime now) const;
   double unsuited_share(const Backends& engines, const PlacementRequest& request,
                         MonotonicTime now) const;
-  double slot_cost(const Backend& backend, const Work& work, const EngineProfile& profile,
+  double slot_cost(const Backend& backend, const TotalWorkload& work, const EngineProfile& profile,
                    const GapForecast& forecast) const;
 
   template <class Estimate>
