--- a/src/admission_queue/admission_queue.cc
+++ b/src/admission_queue/admission_queue.cc
@@ -21,14 +21,14 @@
 
 namespace {
 
-/// The interval between two wake-ups of a queue, per node of the fleet, and its bounds. Work
-/// reports between nodes take about 10 ms: more frequent wake-ups would decide on the same reports
-/// again.
-constexpr Duration kWakeIntervalPerNode = milliseconds(1);
-constexpr Duration kMinWakeInterval = milliseconds(10);
-constexpr Duration kMaxWakeInterval = milliseconds(50);
-constexpr double kWakeJitter = 0.5;
-/// A wake-up that sends its maximum number of requests doubles the maximum of the next one, up to
+/// The interval between two dispatches of a queue, per node of the fleet, and its bounds. Work
+/// reports between nodes take about 10 ms: more frequent dispatches would decide on the same
+/// reports again.
+constexpr Duration kDispatchIntervalPerNode = milliseconds(1);
+constexpr Duration kMinDispatchInterval = milliseconds(10);
+constexpr Duration kMaxDispatchInterval = milliseconds(50);
+constexpr double kDispatchJitter = 0.5;
+/// A dispatch that sends its maximum number of requests doubles the maximum of the next one, up to
 /// this.
 constexpr std::uint32_t kMaxBatch = 16;
 
@@ -64,15 +64,15 @@
   return static_cast<std::uint64_t>(std::chrono::duration_cast<milliseconds>(span).count());
 }
 
-void add_waits(const std::string& name, const gateway::LatencyHistogram& waits,
-               metrics::SampleSink& sink) {
+void add_waits(const std::string& name, const std::string& help,
+               const gateway::LatencyHistogram& waits, metrics::SampleSink& sink) {
   for (std::size_t i = 0; i != gateway::LatencyHistogram::kBounds.size(); ++i) {
-    sink.counter({name + "_bucket", "Waits of queued requests that were sent"},
+    sink.counter({name + "_bucket", "Histogram of " + help + ", in seconds"},
                  static_cast<double>(waits.counts()[i]),
                  {{"le", std::to_string(gateway::LatencyHistogram::kBounds[i])}});
   }
-  sink.counter({name + "_count", "Number of waits"}, static_cast<double>(waits.count()));
-  sink.counter({name + "_sum", "Sum of waits in seconds"}, waits.sum());
+  sink.counter({name + "_count", "Number of " + help}, static_cast<double>(waits.count()));
+  sink.counter({name + "_sum", "Sum of " + help + ", in seconds"}, waits.sum());
 }
 
 }  // namespace
@@ -120,7 +120,7 @@
   request.returned = request.sent_before ||
                      (!schedule.empty() && schedule.consume(waiter.queue_fingerprint().low, now));
   statistics_.returned += request.returned && !request.sent_before ? 1 : 0;
-  const Handle handle = next_++;
+  const Handle handle = next_handle_++;
   const JoinDecision decision = state.queue.join(handle, request, limits_, now);
   if (!decision.admitted) {
     if (!request.room_seen) {
@@ -132,15 +132,15 @@
   ++statistics_.queued;
   statistics_.probes += decision.probe ? 1 : 0;
   state.waiters[handle] = {&waiter, decision.predicted_wait};
-  ++places_;
+  ++waiting_count_;
   result.place = std::make_unique<Place>(*this, service, handle);
   for (const Handle displaced : decision.displaced) {
     reject(service, state, displaced, QueueRejectReason::kDisplaced);
   }
   if (request.room_seen) {
-    wake_now(service, state);
+    dispatch_soon(service, state);
   } else {
-    wake_later(service, state);
+    schedule_dispatch(service, state);
   }
   return result;
 }
@@ -150,7 +150,7 @@
   if (state.waiters.erase(handle) == 0) {
     return;
   }
-  --places_;
+  --waiting_count_;
   ++statistics_.left;
   state.queue.remove(handle, deps_.clock.now());
 }
@@ -165,42 +165,42 @@
     state.queue.note_completion(deps_.clock.now());
   }
   if (!state.waiters.empty()) {
-    wake_now(service, state);
+    dispatch_soon(service, state);
   }
 }
 
-/// Asynchronous, since the caller is in the middle of processing its own request.
-void AdmissionQueue::wake_now(const ServiceName& service, ServiceState& state) {
+/// Uses a timer without delay, because the calling session is still processing its own request.
+void AdmissionQueue::dispatch_soon(const ServiceName& service, ServiceState& state) {
   if (!std::exchange(state.due_at_once, true)) {
-    state.timer.arm(Duration::zero(), [this, service] { on_wake(service); });
+    state.timer.arm(Duration::zero(), [this, service] { dispatch(service); });
   }
 }
 
-void AdmissionQueue::wake_later(const ServiceName& service, ServiceState& state) {
+void AdmissionQueue::schedule_dispatch(const ServiceName& service, ServiceState& state) {
   if (state.timer.armed()) {
     return;
   }
-  const Duration interval = std::clamp<Duration>(kWakeIntervalPerNode * deps_.node_count(),
-                                                 kMinWakeInterval, kMaxWakeInterval);
-  Duration delay = deps_.random.jitter(interval, kWakeJitter);
+  const Duration interval = std::clamp<Duration>(kDispatchIntervalPerNode * deps_.node_count(),
+                                                 kMinDispatchInterval, kMaxDispatchInterval);
+  Duration delay = deps_.random.jitter(interval, kDispatchJitter);
   const MonotonicTime now = deps_.clock.now();
   if (const auto due = state.queue.requests().next_due_after(now + ServiceQueue::kExpiryMargin)) {
     delay = std::min<Duration>(delay, *due - ServiceQueue::kExpiryMargin - now);
   }
-  state.timer.arm(delay, [this, service] { on_wake(service); });
+  state.timer.arm(delay, [this, service] { dispatch(service); });
 }
 
-void AdmissionQueue::on_wake(const ServiceName& service) {
+void AdmissionQueue::dispatch(const ServiceName& service) {
   ServiceState& state = state_of(service);
   state.due_at_once = false;
   reject_expired(service, state);
   std::uint32_t sent = 0;
-  while (sent != state.batch && send_first(state)) {
+  while (sent != state.max_batch && send_first(state)) {
     ++sent;
   }
-  state.batch = sent == state.batch ? std::min(2 * state.batch, kMaxBatch) : 1;
+  state.max_batch = sent == state.max_batch ? std::min(2 * state.max_batch, kMaxBatch) : 1;
   if (!state.waiters.empty()) {
-    wake_later(service, state);
+    schedule_dispatch(service, state);
   }
 }
 
@@ -222,7 +222,7 @@
   return false;
 }
 
-/// The session may have ended within its turn and given up its place.
+/// Does nothing if the session ended inside take_turn(), which has already removed the request.
 void AdmissionQueue::note_sent(ServiceState& state, Handle handle, MonotonicTime joined,
                                Duration predicted) {
   const MonotonicTime now = deps_.clock.now();
@@ -230,7 +230,7 @@
     return;
   }
   state.waiters.erase(handle);
-  --places_;
+  --waiting_count_;
   ++statistics_.sent;
   statistics_.predicted_wait.note(predicted);
   statistics_.actual_wait.note(now - joined);
@@ -251,7 +251,7 @@
   }
   const Waiting waiting = found->second;
   state.waiters.erase(found);
-  --places_;
+  --waiting_count_;
   state.queue.remove(handle, deps_.clock.now());
   waiting.waiter->on_rejected(
       make_rejection(service, state, *waiting.waiter, reason, waiting.predicted_wait));
@@ -295,8 +295,10 @@
     sink.counter({"queue_rejected", "Requests rejected by a queue"},
                  static_cast<double>(statistics_.*row.count), {{"reason", row.name}});
   }
-  add_waits("queue_predicted_wait_seconds", statistics_.predicted_wait, sink);
-  add_waits("queue_wait_seconds", statistics_.actual_wait, sink);
+  add_waits("queue_predicted_wait_seconds", "predicted waits of queued requests that were sent",
+            statistics_.predicted_wait, sink);
+  add_waits("queue_wait_seconds", "actual waits of queued requests that were sent",
+            statistics_.actual_wait, sink);
   const MonotonicTime now = deps_.clock.now();
   for (const auto& [service, state] : states_) {
     const FairQueue& waiting = state->queue.requests();
--- a/src/admission_queue/admission_queue.h
+++ b/src/admission_queue/admission_queue.h
@@ -1,5 +1,5 @@
-// The admission queues of one node, one per service, processed when back ends have room again. Must
-// be used from one event loop.
+// The admission queues of one node, one per service, processed when an attempt ends and at random
+// intervals. Must be used from one event loop.
 #pragma once
 
 #include <cstddef>
@@ -53,12 +53,13 @@
 
   /// Sets the limits for requests that join from now on.
   void set_limits(const QueueLimits& limits) { limits_ = limits; }
-  /// Stops the queues: rejects waiting and new requests, except for streams and retries.
+  /// Rejects waiting requests and, from now on, new ones, except requests that were sent before and
+  /// new requests for which a back end has room.
   void stop();
 
   bool enabled() const override { return limits_.requests != 0; }
   bool has_waiting(const ServiceName& service) const override;
-  std::size_t waiting() const override { return places_; }
+  std::size_t waiting() const override { return waiting_count_; }
   gateway::JoinResult join(gateway::QueueRequest request, gateway::QueueWaiter& waiter) override;
   void note_attempt_ended(const ServiceName& service, bool completed) override;
 
@@ -76,16 +77,16 @@
     ServiceQueue queue;
     std::map<Handle, Waiting> waiters;
     Timer timer;
-    bool due_at_once = false;  ///< The timer is armed with a zero delay.
-    std::uint32_t batch = 1;   ///< Maximum number of requests that one wake-up may send.
+    bool due_at_once = false;     ///< The timer is armed with a zero delay.
+    std::uint32_t max_batch = 1;  ///< Maximum number of requests that one dispatch may send.
   };
   class Place;
 
   ServiceState& state_of(const ServiceName& service);
   void leave(const ServiceName& service, Handle handle);
-  void wake_now(const ServiceName& service, ServiceState& state);
-  void wake_later(const ServiceName& service, ServiceState& state);
-  void on_wake(const ServiceName& service);
+  void dispatch_soon(const ServiceName& service, ServiceState& state);
+  void schedule_dispatch(const ServiceName& service, ServiceState& state);
+  void dispatch(const ServiceName& service);
   /// Returns whether the first request of any class was sent.
   bool send_first(ServiceState& state);
   void note_sent(ServiceState& state, Handle handle, MonotonicTime joined, Duration predicted);
@@ -100,8 +101,8 @@
   Dependencies deps_;
   QueueLimits limits_;
   std::map<ServiceName, std::unique_ptr<ServiceState>> states_;
-  Handle next_ = 0;
-  std::size_t places_ = 0;
+  Handle next_handle_ = 0;
+  std::size_t waiting_count_ = 0;
   bool stopping_ = false;
   QueueStatistics statistics_;
 };
--- a/src/admission_queue/completion_rate.h
+++ b/src/admission_queue/completion_rate.h
@@ -1,5 +1,5 @@
-// The rate at which this node's requests of one service complete while others wait. No side
-// effects; must be used from one event loop.
+// The rate at which this node's requests of one service complete while others wait. Performs
+// no I/O and uses no timers; must be used from one event loop.
 #pragma once
 
 #include <algorithm>
@@ -16,22 +16,22 @@
 class CompletionRate {
  public:
   void set_waiting(bool waiting, MonotonicTime now) {
-    fade(now);
+    decay(now);
     waiting_ = waiting;
   }
   void note_completion(MonotonicTime now) {
-    fade(now);
+    decay(now);
     completions_ += waiting_ ? 1 : 0;
   }
   /// Returns none if the observed time is too short. Never returns zero, since one additional
   /// completion is assumed.
   std::optional<double> per_second(MonotonicTime now) const {
     CompletionRate current = *this;
-    current.fade(now);
-    if (current.busy_seconds_ < to_seconds(kMinObserved)) {
+    current.decay(now);
+    if (current.waiting_seconds_ < to_seconds(kMinObserved)) {
       return std::nullopt;
     }
-    return (current.completions_ + 1) / current.busy_seconds_;
+    return (current.completions_ + 1) / current.waiting_seconds_;
   }
 
  private:
@@ -39,22 +39,22 @@
   static constexpr Duration kMinObserved = std::chrono::milliseconds(250);
 
   /// A clock that stops or goes backwards adds nothing.
-  void fade(MonotonicTime now) {
-    const Duration since = std::max(Duration::zero(), now - at_);
+  void decay(MonotonicTime now) {
+    const Duration since = std::max(Duration::zero(), now - updated_at_);
     const double half_lives = to_seconds(since) / to_seconds(kHalfLife);
-    const double left = std::exp2(-half_lives);
-    completions_ *= left;
-    busy_seconds_ *= left;
+    const double decay_factor = std::exp2(-half_lives);
+    completions_ *= decay_factor;
+    waiting_seconds_ *= decay_factor;
     if (waiting_) {
-      busy_seconds_ += to_seconds(kHalfLife) * (1 - left) / std::log(2.0);
+      waiting_seconds_ += to_seconds(kHalfLife) * (1 - decay_factor) / std::log(2.0);
     }
-    at_ = std::max(at_, now);
+    updated_at_ = std::max(updated_at_, now);
   }
 
   double completions_ = 0;
-  double busy_seconds_ = 0;
+  double waiting_seconds_ = 0;
   bool waiting_ = false;
-  MonotonicTime at_{};
+  MonotonicTime updated_at_{};
 };
 
 }  // namespace ochrespring::admission_queue
--- a/src/admission_queue/fair_queue.cc
+++ b/src/admission_queue/fair_queue.cc
@@ -10,7 +10,8 @@
 
 namespace {
 
-/// A cost that is not a positive number would let its tenant take all slots.
+/// Costs below 1 and costs that are not finite are charged as 1; otherwise their tenant could take
+/// all slots.
 double charge_of(const QueueRequest& request) {
   return std::isfinite(request.cost) ? std::max(request.cost, 1.0) : 1.0;
 }
@@ -35,12 +36,12 @@
   return band == Band::kBegun ? 0 : band == Band::kLate ? 2 : 1;
 }
 
-FairQueue::Order FairQueue::order_of(Handle handle, const Item& item) {
+FairQueue::SortKey FairQueue::order_of(Handle handle, const Item& item) {
   const bool on_time = item.band == Band::kReturned || item.band == Band::kNew;
   return {on_time ? item.request.target : item.request.deadline, handle};
 }
 
-/// Late requests are ordered by deadline, regardless of their priority.
+/// Late requests ignore priority; they are ordered by tenant pass, then by deadline.
 FairQueue::Rank FairQueue::rank_of(Handle handle) const {
   const Item& item = items_.at(handle);
   const int stage = stage_of(item.band);
@@ -178,25 +179,25 @@
     std::uint64_t last_served = 0;
     Handle handle = 0;
   };
-  std::vector<ClassHead> found;
+  std::vector<ClassHead> heads;
   for (const auto& [key, members] : classes_) {
     if (const auto head = first_of(members)) {
-      found.push_back({rank_of(*head), members.last_served, *head});
+      heads.push_back({rank_of(*head), members.last_served, *head});
     }
   }
-  std::sort(found.begin(), found.end(),
+  std::sort(heads.begin(), heads.end(),
             [](const ClassHead& left, const ClassHead& right) { return left.rank < right.rank; });
-  const bool shares = (served_ + 1) % kShareInterval == 0;
-  if (shares && found.size() > 1 && found.front().rank.stage != 0) {
-    const auto least = std::min_element(found.begin(), found.end(),
-                                        [](const ClassHead& left, const ClassHead& right) {
-                                          return left.last_served < right.last_served;
-                                        });
-    std::rotate(found.begin(), least, least + 1);
+  const bool serves_least_recent = (served_ + 1) % kShareInterval == 0;
+  if (serves_least_recent && heads.size() > 1 && heads.front().rank.stage != 0) {
+    const auto least_recent = std::min_element(heads.begin(), heads.end(),
+                                               [](const ClassHead& left, const ClassHead& right) {
+                                                 return left.last_served < right.last_served;
+                                               });
+    std::rotate(heads.begin(), least_recent, least_recent + 1);
   }
   std::vector<Handle> handles;
-  handles.reserve(found.size());
-  for (const ClassHead& head : found) {
+  handles.reserve(heads.size());
+  for (const ClassHead& head : heads) {
     handles.push_back(head.handle);
   }
   return handles;
@@ -247,7 +248,7 @@
   return next == by_deadline_.end() ? std::nullopt : std::optional(next->first);
 }
 
-std::optional<Handle> FairQueue::displaced_by(const QueueRequest& request) const {
+std::optional<Handle> FairQueue::find_displaceable(const QueueRequest& request) const {
   const RequestClass* largest = nullptr;
   TenantName tenant;
   std::size_t most = 0;
@@ -281,7 +282,7 @@
     }
     const auto last = std::find_if(
         found->second.rbegin(), found->second.rend(),
-        [&](const Order& order) { return items_.at(order.second).request.may_be_rejected(); });
+        [&](const SortKey& order) { return items_.at(order.second).request.may_be_rejected(); });
     if (last != found->second.rend()) {
       return last->second;
     }
--- a/src/admission_queue/fair_queue.h
+++ b/src/admission_queue/fair_queue.h
@@ -1,5 +1,5 @@
-// The order in which the queued requests of one service are sent. No side effects; must be used
-// from one event loop.
+// The order in which the queued requests of one service are sent. Performs no I/O and uses no
+// timers; must be used from one event loop.
 #pragma once
 
 #include <array>
@@ -20,10 +20,12 @@
 using Handle = std::uint64_t;
 
 /// Streams that have begun come first, then requests that can still meet their target, by priority,
-/// then those that no longer can, by deadline. Tenants of equal rank are scheduled by stride
-/// scheduling (Waldspurger and Weihl, MIT/LCS/TM-528, 1995) and charged with the cost of the
-/// requests sent. Every `kShareInterval`th request is taken from the class that was served least
-/// recently, so that each waiting class gets a share.
+/// retried ones before new ones, then those that no longer can. Late requests ignore priority; they
+/// are ordered by tenant pass, then by deadline. A class consists of the requests of one priority
+/// and route. Tenants of equal rank are scheduled by stride scheduling (Waldspurger and Weihl,
+/// MIT/LCS/TM-528, 1995) and charged with the cost of the requests sent. Every `kShareInterval`th
+/// request is taken from the class that was served least recently, unless a stream that has begun
+/// is waiting, so that each waiting class gets a share.
 class FairQueue {
  public:
   static constexpr std::uint64_t kShareInterval = 8;
@@ -44,9 +46,10 @@
   /// Returns the earliest deadline after `time`.
   std::optional<MonotonicTime> next_due_after(MonotonicTime time) const;
   /// Returns the last request of the largest group of one class and tenant, if that group is larger
-  /// by at least two than the group of `request`; otherwise none, since no request has to be
-  /// displaced.
-  std::optional<Handle> displaced_by(const gateway::QueueRequest& request) const;
+  /// by at least two than the group of `request`; otherwise, or if that group has no
+  /// request that may be rejected, returns none: the new request is the one to reject. Streams that
+  /// have begun are not counted.
+  std::optional<Handle> find_displaceable(const gateway::QueueRequest& request) const;
   /// Returns the requests that the queue may reject, oldest first.
   std::vector<Handle> rejectable() const;
 
@@ -65,15 +68,20 @@
   std::size_t tenants() const { return tenants_.size(); }
 
  private:
+  /// The bands of a class, in the order of sending. kReturned holds requests that were sent before
+  /// or are retried at their assigned time.
   enum class Band : std::uint8_t { kBegun, kReturned, kNew, kLate };
   static constexpr std::size_t kBands = 4;
+  /// Bands in the order in which requests are displaced.
   static constexpr std::array kDisplacementOrder{Band::kLate, Band::kNew, Band::kReturned};
+  /// Idle tenants are removed when there are more tenants than this plus twice the active ones.
   static constexpr std::size_t kIdleTenantSlack = 64;
 
   using ClassKey = std::pair<std::uint32_t, gateway::RouteName>;
-  using Order = std::pair<MonotonicTime, Handle>;
+  /// The target of a request that is on time, else its deadline; and its handle.
+  using SortKey = std::pair<MonotonicTime, Handle>;
   /// Requests of one class and band, by tenant.
-  using TenantRequests = std::map<TenantName, std::set<Order>>;
+  using TenantRequests = std::map<TenantName, std::set<SortKey>>;
   struct RequestClass {
     std::array<TenantRequests, kBands> bands;
     std::size_t size = 0;
@@ -94,7 +102,7 @@
     std::uint32_t priority = 0;
     bool is_new = false;
     double pass = 0;
-    Order order;
+    SortKey order;
 
     auto operator<=>(const Rank&) const = default;
   };
@@ -102,7 +110,7 @@
   static ClassKey class_of(const gateway::QueueRequest& request);
   static Band band_of(const gateway::QueueRequest& request, MonotonicTime now);
   static int stage_of(Band band);
-  static Order order_of(Handle handle, const Item& item);
+  static SortKey order_of(Handle handle, const Item& item);
   Rank rank_of(Handle handle) const;
   Handle first_of(const TenantRequests& requests_of_band) const;
   std::optional<Handle> first_of(const RequestClass& members) const;
@@ -117,12 +125,12 @@
   std::map<Handle, Item> items_;
   std::map<ClassKey, RequestClass> classes_;
   std::map<TenantName, TenantState> tenants_;
-  std::set<Order> by_target_;  ///< Requests that can still meet their target.
-  std::set<Order> by_deadline_;
+  std::set<SortKey> by_target_;  ///< Requests that can still meet their target.
+  std::set<SortKey> by_deadline_;
   std::size_t bytes_ = 0;
   std::size_t active_tenants_ = 0;
   std::uint64_t served_ = 0;
-  double pass_ = 0;  ///< Of the tenant served last; never decreases.
+  double pass_ = 0;  ///< Pass of the tenant served last; reset only when the queue becomes empty.
 };
 
 }  // namespace ochrespring::admission_queue
--- a/src/admission_queue/retry_schedule.cc
+++ b/src/admission_queue/retry_schedule.cc
@@ -4,32 +4,33 @@
 
 namespace ochrespring::admission_queue {
 
-Duration RetrySchedule::reserve(const Rejected& rejected, RandomSource& random, MonotonicTime now) {
+Duration RetrySchedule::reserve(const RejectedRequest& rejected, RandomSource& random,
+                                MonotonicTime now) {
   if (const auto found = due_.find(rejected.key); found != due_.end() && found->second > now) {
     return std::max(found->second - now, kMinWait);
   }
   const MonotonicTime end = now + kMaxWait;
   const MonotonicTime first = now + std::clamp(rejected.time_to_drain, kMinWait, kMaxWait);
-  MonotonicTime due = std::max(first, last_ + std::min(rejected.interval, kMaxWait));
+  MonotonicTime due = std::max(first, last_sequential_ + std::min(rejected.interval, kMaxWait));
   if (due > end) {
     // More requests were rejected than slots become free within the maximum wait.
-    const Duration least = std::min<Duration>(first - now, kMaxWait / 2);
-    due = now + least + random.part_of(kMaxWait - least);
+    const Duration min_wait = std::min<Duration>(first - now, kMaxWait / 2);
+    due = now + min_wait + random.part_of(kMaxWait - min_wait);
   } else {
-    last_ = due;
+    last_sequential_ = due;
   }
   if (due_.size() >= kMaxEntries) {
     erase_expired(now);
   }
   if (due_.size() < kMaxEntries) {
     due_[rejected.key] = due;
-    latest_ = std::max(latest_, due);
+    latest_due_ = std::max(latest_due_, due);
   }
   return due - now;
 }
 
 bool RetrySchedule::consume(std::uint64_t key, MonotonicTime now) {
-  if (latest_ + kLateTolerance < now) {
+  if (latest_due_ + kLateTolerance < now) {
     // Retries of a past overload need not be looked up for every new request.
     due_.clear();
   }
--- a/src/admission_queue/retry_schedule.h
+++ b/src/admission_queue/retry_schedule.h
@@ -1,5 +1,5 @@
-// Assigns retry times to rejected callers and recognizes their retries. No side effects; must be
-// used from one event loop.
+// Assigns retry times to rejected callers and recognizes their retries. Performs no I/O and uses no
+// timers; must be used from one event loop.
 #pragma once
 
 #include <chrono>
@@ -24,14 +24,15 @@
   static constexpr Duration kLateTolerance = std::chrono::seconds(1);
   static constexpr std::size_t kMaxEntries = 4096;
 
-  struct Rejected {
+  struct RejectedRequest {
     std::uint64_t key = 0;     ///< Identifies the request.
     Duration time_to_drain{};  ///< Until the currently waiting requests have left.
     Duration interval{};       ///< Between two slots that become free.
   };
 
-  /// Returns the time after which the caller should retry.
-  Duration reserve(const Rejected& rejected, RandomSource& random, MonotonicTime now);
+  /// Returns the time after which the caller should retry. Beyond kMaxEntries, times are not
+  /// stored.
+  Duration reserve(const RejectedRequest& rejected, RandomSource& random, MonotonicTime now);
   /// Returns whether the request is retried at its assigned time. Returns true only once per
   /// assignment.
   bool consume(std::uint64_t key, MonotonicTime now);
@@ -42,8 +43,8 @@
   void erase_expired(MonotonicTime now);
 
   std::unordered_map<std::uint64_t, MonotonicTime> due_;
-  MonotonicTime last_{};    ///< The latest time assigned in sequence.
-  MonotonicTime latest_{};  ///< The latest stored time.
+  MonotonicTime last_sequential_{};  ///< The latest time assigned in sequence.
+  MonotonicTime latest_due_{};       ///< The latest stored time.
 };
 
 }  // namespace ochrespring::admission_queue
--- a/src/admission_queue/service_queue.cc
+++ b/src/admission_queue/service_queue.cc
@@ -71,7 +71,7 @@
   if (fits(requests_.size(), requests_.bytes())) {
     return true;
   }
-  const auto displaced_request = requests_.displaced_by(request);
+  const auto displaced_request = requests_.find_displaceable(request);
   if (!displaced_request) {
     return false;
   }
--- a/src/admission_queue/service_queue.h
+++ b/src/admission_queue/service_queue.h
@@ -1,5 +1,4 @@
-// The queue of one service at one node: decides which requests may wait, predicts their wait, and
-// assigns retry times to rejected ones. No side effects; must be used from one event loop.
+// The queue of one service at one node.
 #pragma once
 
 #include <chrono>
@@ -17,8 +16,8 @@
 
 /// Limits of the queue of one service at one node.
 struct QueueLimits {
-  std::size_t requests = 0;  ///< 0: queueing is disabled.
-  std::size_t bytes = std::size_t{16} << 20U;
+  std::size_t requests = 0;                    ///< 0: queueing is disabled.
+  std::size_t bytes = std::size_t{16} << 20U;  ///< Total size of the bodies.
 };
 
 /// The decision on a request that would have to wait.
@@ -32,6 +31,8 @@
   std::vector<Handle> displaced;  ///< Still queued; must be rejected to make room for the request.
 };
 
+/// Decides which requests may wait, predicts their wait, and assigns retry times to rejected ones.
+/// Performs no I/O and uses no timers; must be used from one event loop.
 class ServiceQueue {
  public:
   /// One in this many requests with a late prediction is admitted as a probe.
@@ -42,7 +43,9 @@
 
   JoinDecision join(Handle handle, const gateway::QueueRequest& request, const QueueLimits& limits,
                     MonotonicTime now);
+  /// Removes a request that left or was rejected. Returns false if it is not in the queue.
   bool remove(Handle handle, MonotonicTime now);
+  /// Removes a request that was sent. Returns false if it is not in the queue.
   bool serve(Handle handle, MonotonicTime now);
   void note_completion(MonotonicTime now);
   /// Returns zero while no rate is known.
--- a/src/admission_queue/tests/fair_queue_test.cc
+++ b/src/admission_queue/tests/fair_queue_test.cc
@@ -89,7 +89,7 @@
   CHECK(low_sent == 1);
 }
 
-TEST_CASE("tenants of one class share by cost, regardless of their numbers of requests") {
+TEST_CASE("tenants of one class get equal shares, regardless of their numbers of requests") {
   FairQueue queue;
   Handle next = 0;
   for (; next != 100; ++next) {
@@ -141,7 +141,7 @@
   }
 }
 
-TEST_CASE("removing a request keeps the others and their number of requests ahead correct") {
+TEST_CASE("removing a request keeps the order of the others and updates ahead_of()") {
   FairQueue queue;
   queue.push(1, make_request("r", 1), kNow);
   queue.push(2, make_request("r", 1), kNow);
--- a/src/admission_queue/tests/queue_benchmark.cc
+++ b/src/admission_queue/tests/queue_benchmark.cc
@@ -1,9 +1,6 @@
 // Measures the cost of queueing one request and sending the first, by the number of waiting
 // requests, for 3 classes and 32 tenants, and the cost of rejecting a request when all limits are
 // reached.
-//
-// With 10, 1,000 and 10,000 waiting requests: 3.3, 13 and 14 us to queue and send, 11, 21 and 23 us
-// to reject (release build, one core of a shared virtual machine, one run).
 #include <benchmark/benchmark.h>
 
 #include <chrono>
--- a/src/admission_queue/tests/queued_request_test.cc
+++ b/src/admission_queue/tests/queued_request_test.cc
@@ -23,7 +23,7 @@
 struct QueueingFixture : GatewayFixture {
   AdmissionQueue queue{{time, time, random, logger, [] { return 1U; }},
                        {.requests = 100, .bytes = 1'000'000}};
-  Gateway queueing{environment_with_queue(), [](auto done) { done(true); }};
+  Gateway gateway_with_queue{environment_with_queue(), [](auto done) { done(true); }};
 
   Environment environment_with_queue() {
     Environment result = environment();
@@ -34,7 +34,8 @@
   std::shared_ptr<PlayedCaller> send_request(const std::string& path,
                                              const std::string& body = "body") {
     auto caller = std::make_shared<PlayedCaller>();
-    queueing.handle({"POST", path, "", {{"host", "h"}, {"x-request-id", "r"}}, body}, caller);
+    gateway_with_queue.handle({"POST", path, "", {{"host", "h"}, {"x-request-id", "r"}}, body},
+                              caller);
     return caller;
   }
   /// Sends requests that use all slots and waiting places of `b`.
@@ -58,8 +59,8 @@
   CHECK(fixture.queue.waiting() == 0);
   const auto caller = fixture.send_request("/once/queued");
   CHECK(fixture.sends() == kCapacity);
-  CHECK(fixture.queueing.held().queued == 1);
-  CHECK(fixture.queueing.held().at_back_ends == kCapacity);
+  CHECK(fixture.gateway_with_queue.held().queued == 1);
+  CHECK(fixture.gateway_with_queue.held().at_back_ends == kCapacity);
   fixture.advance(60ms);
   CHECK(fixture.sends() == kCapacity);
   fixture.complete(0);
@@ -131,13 +132,13 @@
   const auto caller = fixture.send_request("/once/queued");
   caller->leave();
   CHECK(fixture.queue.waiting() == 0);
-  CHECK(fixture.queueing.held().total() == kCapacity);
+  CHECK(fixture.gateway_with_queue.held().total() == kCapacity);
   fixture.complete(0);
   fixture.advance(100ms);
   CHECK(fixture.sends() == kCapacity);
 }
 
-TEST_CASE("a request that was never sent is rejected as not run before its deadline") {
+TEST_CASE("a queued request is answered with 503 shortly before its deadline") {
   QueueingFixture fixture;
   fixture.fill();
   const auto caller = fixture.send_request("/once/queued");
@@ -264,17 +265,17 @@
     add_backend("d", "llm", EngineRole::kDecode);
     add_backend("e", "llm", EngineRole::kDecode);
   }
-  std::shared_ptr<PlayedCaller> begin_stream(Gateway& entry) {
+  std::shared_ptr<PlayedCaller> begin_stream(Gateway& gateway_under_test) {
     auto caller = std::make_shared<PlayedCaller>();
-    entry.handle({"POST",
-                  "/resumable/x",
-                  "",
-                  {{"host", "h"},
-                   {"x-request-id", "r"},
-                   {names.prompt_parts, "aa:100"},
-                   {names.token_counts, "200,6000"}},
-                  "body"},
-                 caller);
+    gateway_under_test.handle({"POST",
+                               "/resumable/x",
+                               "",
+                               {{"host", "h"},
+                                {"x-request-id", "r"},
+                                {names.prompt_parts, "aa:100"},
+                                {names.token_counts, "200,6000"}},
+                               "body"},
+                              caller);
     REQUIRE_FALSE(last().header(names.cache_backup).empty());
     last().observer->on_head({200, {signature()}});
     last().observer->on_body("id: 1\ndata: x\n\n");
@@ -284,10 +285,11 @@
 
 }  // namespace
 
-// If the continuation queued, its engine could drop the copy meanwhile. If the retry did not queue,
-// it would bypass the queue.
-TEST_CASE_FIXTURE(ReplicatingFixture, "a continuation does not queue, but a retry after it does") {
-  const auto caller = begin_stream(queueing);
+// A resumed stream must not queue: the engine could evict its copy of the KV cache meanwhile. A
+// retry after it must queue like any other request.
+TEST_CASE_FIXTURE(ReplicatingFixture,
+                  "a resumed stream does not queue, but a retry after it does") {
+  const auto caller = begin_stream(gateway_with_queue);
   for (std::size_t i = 0; i != 8; ++i) {
     loads.begin(BackendId("d"), 0);
     loads.begin(BackendId("e"), 0);
@@ -314,8 +316,9 @@
 
 // If such refusals, which cost an engine nothing, counted as completions, the queue would predict
 // waits that are too short.
-TEST_CASE_FIXTURE(ReplicatingFixture,
-                  "a refusal by an engine without the copy does not count as a completion") {
+TEST_CASE_FIXTURE(
+    ReplicatingFixture,
+    "a refusal by an engine without a copy of the KV cache does not count as a completion") {
   struct RecordingQueue final : RequestQueue {
     bool enabled() const override { return false; }
     bool has_waiting(const ServiceName& /*service*/) const override { return false; }
@@ -351,7 +354,8 @@
 }
 
 TEST_CASE(
-    "an engine has room while its prefill work ends before the target of the next first event") {
+    "an engine has room while its pending prefill work ends before the target latency of the new "
+    "request") {
   struct Profiles final : EngineProfiles {
     std::optional<EngineProfile> find(const Backend& /*engine*/,
                                       MonotonicTime /*now*/) const override {
--- a/src/admission_queue/tests/service_queue_test.cc
+++ b/src/admission_queue/tests/service_queue_test.cc
@@ -40,14 +40,16 @@
 
 }  // namespace
 
-TEST_CASE("no request is rejected without a rate observed while requests waited") {
+TEST_CASE(
+    "without an observed completion rate, only requests within the expiry margin of their deadline "
+    "are rejected") {
   ServiceQueueFixture fixture;
   fixture.queue.note_completion(fixture.now);
   fixture.now += 1h;
   for (int i = 0; i != 100; ++i) {
     CHECK(fixture.join(fixture.make_request()).admitted);
   }
-  // After a wait, the answer could not arrive in time.
+  // The deadline is within kExpiryMargin.
   CHECK_FALSE(fixture.join(fixture.make_request("t", 15ms)).admitted);
 }
 
@@ -88,7 +90,9 @@
   }
 }
 
-TEST_CASE("begun streams, retries and requests with room at a back end are never rejected") {
+TEST_CASE(
+    "requests that were sent before are always admitted; requests with room at a back end are not "
+    "rejected as too late") {
   ServiceQueueFixture fixture;
   for (int i = 0; i != 100; ++i) {
     fixture.join(fixture.make_request());
--- a/src/engine_profiles/engine_profile_table.cc
+++ b/src/engine_profiles/engine_profile_table.cc
@@ -12,24 +12,24 @@
 namespace {
 
 constexpr std::string_view kComponent = "engine_profiles";
-/// Period between two updates of the medians, per known engine: iterating over 10,000 engines takes
-/// 5 ms.
+/// The medians are updated at intervals of this time multiplied by the number of engines: an update
+/// for 10,000 engines takes 5 ms, that is 0.1% of its interval.
 constexpr Duration kMedianUpdatePeriodPerEngine = std::chrono::microseconds(500);
 constexpr Duration kMinMedianUpdatePeriod = std::chrono::milliseconds(100);
 constexpr Duration kLogPeriod = std::chrono::seconds(60);
 /// Weight of the service's median, in samples: an engine with few samples is assumed to be like the
 /// others.
 constexpr double kPriorWeight = 2;
-/// Number of an engine's samples that are not counted. Both of two samples can be taken during a
-/// slowdown, which no quantile can detect; identical engines then differed by 28%.
+/// Subtracted from the weight of an engine's samples. Two samples may both fall into a slowdown,
+/// which no quantile detects; without the discount, estimates of identical engines differ by 28%.
 constexpr double kDiscountedSamples = 2;
 /// An engine whose samples have a lower total weight does not count in the median of its service.
 constexpr double kMinMedianWeight = 0.5;
-/// Paces are rejected if they are this many times above or below 1, and values if they are this
-/// many times above or below the median of the service...
+/// Paces further than this factor from 1 are rejected, and so are values further than this factor
+/// from the median of the service.
 constexpr double kMaxPlausibleRatio = 100;
-/// ...provided that the median is based on at least this many engines. Otherwise a wrong first
-/// value would cause all correct ones to be rejected.
+/// Values are compared with the median only if it covers at least this many engines; otherwise a
+/// wrong first value would cause all correct ones to be rejected.
 constexpr std::size_t kMinEnginesForRatioCheck = 3;
 /// Bounds of plausible values in nanoseconds per token, indexed by Quantity: 10 us to 10 s per
 /// output token, 1 ns to 1 s per prompt token.
@@ -44,7 +44,7 @@
 /// skipped: part of those may already have been prefilled, and the time per token would be
 /// underestimated.
 constexpr double kMaxShareAhead = 0.125;
-/// An engine that also decodes prefills at half the rate.
+/// Prefill takes this many times as long on an engine that also decodes.
 constexpr double kDecodeEngineSlowdown = 2;
 /// Observations are skipped if decoding the first event takes a greater share of the time, since
 /// the remaining prefill time is too uncertain.
@@ -57,7 +57,7 @@
     {"engine_profile_prompt_samples", "Samples of the prefill time per prompt token",
      &ProfileStatistics::prompt_samples},
     {"engine_profile_observations_skipped",
-     "Observations skipped because they do not show the undisturbed speed",
+     "Observations skipped because they do not allow an estimate of the engine's speed",
      &ProfileStatistics::skipped},
     {"engine_profile_values_rejected", "Implausible engine speed values",
      &ProfileStatistics::rejected},
@@ -80,18 +80,19 @@
 std::optional<gateway::EngineProfile> EngineProfileTable::find(const gateway::Backend& engine,
                                                                MonotonicTime now) const {
   const Service* service = find_service(engine.service);
-  if (service == nullptr || service->usual.output_token == Duration::zero()) {
+  if (service == nullptr || service->median_profile.output_token == Duration::zero()) {
     return std::nullopt;
   }
-  gateway::EngineProfile profile = service->usual;
+  gateway::EngineProfile profile = service->median_profile;
   const auto known = engines_.find(engine.id);
   if (known == engines_.end()) {
     return profile;
   }
   const auto& summaries = service->summaries;
-  profile.output_token = blend(known->second, Quantity::kOutputToken, summaries[0], now);
+  profile.output_token = blend(known->second, Quantity::kTimePerOutputToken, summaries[0], now);
   if (summaries[1].median != 0) {
-    profile.prompt_token = blend(known->second, Quantity::kPromptToken, summaries[1], now);
+    profile.prompt_token =
+        blend(known->second, Quantity::kPrefillTimePerPromptToken, summaries[1], now);
   }
   profile.long_streams = known->second.long_streams.total(now);
   return profile;
@@ -100,9 +101,9 @@
 std::optional<gateway::EngineProfile> EngineProfileTable::usual(const ServiceName& service,
                                                                 MonotonicTime /*now*/) const {
   const Service* known = find_service(service);
-  return known == nullptr || known->usual.output_token == Duration::zero()
+  return known == nullptr || known->median_profile.output_token == Duration::zero()
              ? std::nullopt
-             : std::optional(known->usual);
+             : std::optional(known->median_profile);
 }
 
 double EngineProfileTable::share_slower_than(const ServiceName& service, double factor,
@@ -133,8 +134,8 @@
     return;
   }
   const double tokens = static_cast<double>(observation.gaps) * shape->tokens_per_event;
-  add_sample(*backend, Quantity::kOutputToken, to_nanoseconds(observation.took) / tokens / *pace,
-             now);
+  add_sample(*backend, Quantity::kTimePerOutputToken,
+             to_nanoseconds(observation.took) / tokens / *pace, now);
 }
 
 void EngineProfileTable::note_prefill(const gateway::PrefillObservation& observation,
@@ -164,7 +165,7 @@
     took -= decode_time;
   }
   const bool decodes = backend->role == gateway::EngineRole::kDecode;
-  add_sample(*backend, Quantity::kPromptToken,
+  add_sample(*backend, Quantity::kPrefillTimePerPromptToken,
              took / (own + ahead) / (decodes ? kDecodeEngineSlowdown : 1), now);
 }
 
@@ -223,14 +224,14 @@
   const RecentSamples& own = engine.own[index_of(quantity)];
   Estimate estimate = engine.reported[index_of(quantity)];
   if (!own.empty()) {
-    estimate.merge(own.low_quantile_logarithm(), own.weight(now), now);
+    estimate.merge(own.log_lower_quartile(), own.weight(now), now);
   }
   return estimate;
 }
 
 /// Returns the engine's value, weighted towards the median of the service if few samples exist.
 Duration EngineProfileTable::blend(const Engine& engine, Quantity quantity,
-                                   const SpeedSummary& summary, MonotonicTime now) const {
+                                   const TokenTimeSummary& summary, MonotonicTime now) const {
   const Estimate own = measured(engine, quantity, now);
   Estimate estimate;
   estimate.merge(summary.median_logarithm, kPriorWeight, now);
@@ -259,7 +260,8 @@
     ++statistics_.rejected;
     return;
   }
-  ++(quantity == Quantity::kOutputToken ? statistics_.output_samples : statistics_.prompt_samples);
+  ++(quantity == Quantity::kTimePerOutputToken ? statistics_.output_samples
+                                               : statistics_.prompt_samples);
   Engine& known = engines_[engine.id];
   known.own[index_of(quantity)].add(static_cast<float>(value), now);
   std::uint8_t& unreported = known.unreported[index_of(quantity)];
@@ -293,11 +295,11 @@
     const std::size_t i = index_of(quantity);
     return engine.unreported[i] == 0
                ? ReportedSpeed()
-               : ReportedSpeed{from_nanoseconds(std::exp(engine.own[i].low_quantile_logarithm())),
+               : ReportedSpeed{from_nanoseconds(std::exp(engine.own[i].log_lower_quartile())),
                                engine.unreported[i]};
   };
-  report.output = reported(Quantity::kOutputToken);
-  report.prompt = reported(Quantity::kPromptToken);
+  report.output = reported(Quantity::kTimePerOutputToken);
+  report.prompt = reported(Quantity::kPrefillTimePerPromptToken);
   report.long_streams = engine.long_streams.own();
   return report;
 }
@@ -315,8 +317,8 @@
   if (engine == nullptr) {
     return;
   }
-  merge_reported(*engine, Quantity::kOutputToken, report.output, now);
-  merge_reported(*engine, Quantity::kPromptToken, report.prompt, now);
+  merge_reported(*engine, Quantity::kTimePerOutputToken, report.output, now);
+  merge_reported(*engine, Quantity::kPrefillTimePerPromptToken, report.prompt, now);
   if (report.long_streams > kMaxReportedStreams) {
     ++statistics_.rejected;
     return;
@@ -354,8 +356,8 @@
   };
   for (const auto& [id, engine] : engines_) {
     EngineProfileReport report{.engine = id,
-                               .output = speed(engine, Quantity::kOutputToken),
-                               .prompt = speed(engine, Quantity::kPromptToken),
+                               .output = speed(engine, Quantity::kTimePerOutputToken),
+                               .prompt = speed(engine, Quantity::kPrefillTimePerPromptToken),
                                .long_streams = engine.long_streams.own()};
     const bool known = report.output.samples + report.prompt.samples + report.long_streams != 0;
     if (known && !visit(std::move(report))) {
@@ -375,7 +377,8 @@
   std::map<ServiceName, std::array<Measurements, kQuantityCount>> values;
   for (const auto& [id, engine] : engines_) {
     const gateway::Backend* backend = find_engine(id);
-    for (const Quantity quantity : {Quantity::kOutputToken, Quantity::kPromptToken}) {
+    for (const Quantity quantity :
+         {Quantity::kTimePerOutputToken, Quantity::kPrefillTimePerPromptToken}) {
       const Estimate estimate = measured(engine, quantity, now);
       if (backend != nullptr && estimate.weight_at(now) >= kMinMedianWeight) {
         values[backend->service][index_of(quantity)].emplace_back(estimate.value(), &id);
@@ -397,8 +400,8 @@
                                 .engines = engine_values.size()};
       }
     }
-    service.usual.output_token = from_nanoseconds(service.summaries[0].median);
-    service.usual.prompt_token = from_nanoseconds(service.summaries[1].median);
+    service.median_profile.output_token = from_nanoseconds(service.summaries[0].median);
+    service.median_profile.prompt_token = from_nanoseconds(service.summaries[1].median);
   }
   medians_updated_at_ = now;
   if (now - logged_at_ >= kLogPeriod) {
@@ -409,7 +412,7 @@
 void EngineProfileTable::log_medians(MonotonicTime now) {
   logged_at_ = now;
   for (const auto& [name, service] : services_) {
-    const SpeedSummary& output = service.summaries[0];
+    const TokenTimeSummary& output = service.summaries[0];
     if (output.engines == 0) {
       continue;
     }
@@ -432,7 +435,7 @@
              static_cast<double>(engines_.size()));
   for (const auto& [name, service] : services_) {
     const std::vector<metrics::Label> labels{{"service", name.value()}};
-    const SpeedSummary& output = service.summaries[0];
+    const TokenTimeSummary& output = service.summaries[0];
     sink.gauge({"engine_output_token_median_seconds",
                 "Median time per output token of the engines of a service"},
                output.median * 1e-9, labels);
--- a/src/engine_profiles/engine_profile_table.h
+++ b/src/engine_profiles/engine_profile_table.h
@@ -24,22 +24,22 @@
 
 namespace ochrespring::engine_profiles {
 
-/// The measured quantities of an engine.
-enum class Quantity : std::uint8_t { kOutputToken, kPromptToken };
+/// The quantities that are measured for each engine.
+enum class Quantity : std::uint8_t { kTimePerOutputToken, kPrefillTimePerPromptToken };
 inline constexpr std::size_t kQuantityCount = 2;
 
 struct ProfileStatistics {
   std::uint64_t output_samples = 0;  ///< Of the time per output token.
   std::uint64_t prompt_samples = 0;  ///< Of the prefill time per prompt token.
-  std::uint64_t skipped = 0;         ///< Observations that do not show the undisturbed speed.
+  std::uint64_t skipped = 0;         ///< Observations that do not allow an estimate of the speed.
   std::uint64_t rejected = 0;        ///< Implausible values.
 };
 
 /// Estimates the speed of engines from observations of this node's requests and from reports of
 /// other nodes. A lookup takes constant time: the medians of services are updated as observations
-/// arrive, at a rate that keeps the cost a small, constant share of the time.
+/// arrive, at a rate that keeps the cost a small, constant share of CPU time.
 ///
-/// No side effects except logging; must be used from one event loop.
+/// Performs no I/O except logging; must be used from one event loop.
 class EngineProfileTable final : public gateway::EngineProfiles, public gateway::EngineObserver {
  public:
   /// Both arguments must outlive the table.
@@ -67,15 +67,16 @@
   void on_change(std::function<void(const gateway::BackendId&)> callback) {
     on_change_ = std::move(callback);
   }
-  /// Returns what this node has measured since the last call of mark_reported(), and its number of
-  /// long streams.
+  /// Returns the lower quartile of this node's recent samples, the number of samples added since
+  /// mark_reported(), and this node's number of long streams. A quantity without new samples has no
+  /// value.
   EngineProfileReport own_report(const gateway::BackendId& engine) const;
   /// Marks the measurements of the engine as reported to other nodes.
   void mark_reported(const gateway::BackendId& engine);
   /// Merges another node's report; implausible values are ignored.
   void receive(const EngineProfileReport& report, NodeIndex node, MonotonicTime now);
-  /// Calls `visit` with everything known about each engine, measured by any node, until it returns
-  /// false.
+  /// Calls `visit` for each engine with the estimates from all nodes and this node's own number of
+  /// long streams, until it returns false.
   void for_each_known(MonotonicTime now,
                       const std::function<bool(EngineProfileReport)>& visit) const;
   /// Removes an engine that has terminated.
@@ -96,7 +97,7 @@
   };
   /// Distribution of one quantity over the measured engines of a service; each engine counts once,
   /// with its own value.
-  struct SpeedSummary {
+  struct TokenTimeSummary {
     double median = 0;  ///< Nanoseconds per token; 0: no engine was measured.
     double median_logarithm = 0;
     double fastest = 0;
@@ -106,8 +107,8 @@
   };
   struct Service {
     ServicePaces paces;
-    std::array<SpeedSummary, kQuantityCount> summaries;
-    gateway::EngineProfile usual;  ///< The medians.
+    std::array<TokenTimeSummary, kQuantityCount> summaries;
+    gateway::EngineProfile median_profile;
   };
 
   /// Returns null if the back end is not registered or not an engine.
@@ -116,7 +117,7 @@
   const Service* find_service(const ServiceName& service) const;
   /// Returns the combined estimate for the engine itself; its weight is 0 if there is none.
   Estimate measured(const Engine& engine, Quantity quantity, MonotonicTime now) const;
-  Duration blend(const Engine& engine, Quantity quantity, const SpeedSummary& summary,
+  Duration blend(const Engine& engine, Quantity quantity, const TokenTimeSummary& summary,
                  MonotonicTime now) const;
   bool is_plausible(double value, const ServiceName& service, Quantity quantity) const;
   void add_sample(const gateway::Backend& engine, Quantity quantity, double value,
--- a/src/engine_profiles/estimate.h
+++ b/src/engine_profiles/estimate.h
@@ -9,7 +9,7 @@
 
 namespace ochrespring::engine_profiles {
 
-/// A weighted mean of logarithms whose weight decays over time. No side effects.
+/// A weighted mean of logarithms whose weight decays over time. Performs no I/O and uses no timers.
 class Estimate {
  public:
   /// Merges a value. `logarithm` is the natural logarithm of a value in nanoseconds, `weight` the
--- a/src/engine_profiles/long_streams.h
+++ b/src/engine_profiles/long_streams.h
@@ -13,10 +13,12 @@
 /// A number that this node assigns to another node.
 using NodeIndex = std::uint32_t;
 
-/// Counts long streams per node. No side effects.
+/// Counts, per node, the streams at one engine that still have many events to come. Performs no I/O
+/// and uses no timers.
 class LongStreams {
  public:
-  /// How long another node's report stays valid; two repeated reports may be lost meanwhile.
+  /// How long another node's report stays valid; one lost report is tolerated, see
+  /// ProfileExchange::kLongStreamRepeatPeriod.
   static constexpr Duration kReportLifetime = std::chrono::seconds(5);
 
   void begin() { ++own_; }
--- a/src/engine_profiles/pace_history.cc
+++ b/src/engine_profiles/pace_history.cc
@@ -7,18 +7,19 @@
 void PaceHistory::add(double pace, MonotonicTime now) {
   last_ = static_cast<float>(pace);
   last_at_ = now;
-  if (size_ != 0 && now - spaced_at_ < kMinSpacing) {
+  if (size_ != 0 && now - baseline_updated_at_ < kMinBaselineInterval) {
     return;
   }
-  spaced_[next_] = last_;
-  spaced_at_ = now;
-  next_ = static_cast<std::uint8_t>((next_ + 1) % kMaxSpacedReports);
-  size_ = std::min<std::uint8_t>(size_ + 1, kMaxSpacedReports);
+  baseline_reports_[next_] = last_;
+  baseline_updated_at_ = now;
+  next_ = static_cast<std::uint8_t>((next_ + 1) % kMaxBaselineReports);
+  size_ = std::min<std::uint8_t>(size_ + 1, kMaxBaselineReports);
 }
 
 double PaceHistory::baseline() const {
-  return size_ < kMinSpacedReports ? 1.0
-                                   : *std::min_element(spaced_.begin(), spaced_.begin() + size_);
+  return size_ < kMinBaselineReports
+             ? 1.0
+             : *std::min_element(baseline_reports_.begin(), baseline_reports_.begin() + size_);
 }
 
 std::optional<double> PaceHistory::pace_during_sample(MonotonicTime now) const {
--- a/src/engine_profiles/profile_exchange.h
+++ b/src/engine_profiles/profile_exchange.h
@@ -67,8 +67,8 @@
   /// Maximum number of changes that wait to be reported. One datagram holds about 25, and a change
   /// that has waited for a half-life of the samples has little value.
   static constexpr std::size_t kMaxPendingChanges = 256;
-  /// Maximum number of nodes tracked separately, and the time without a report after which one is
-  /// removed.
+  /// Maximum number of tracked nodes. When it is reached, nodes without a report for kPeerTimeout
+  /// are removed; if there are none, reports from new nodes are dropped.
   static constexpr std::size_t kMaxPeers = 4'096;
   static constexpr Duration kPeerTimeout = std::chrono::seconds(60);
   /// Maximum number of messages to one node that asks: about 1,600 engines. The node uses the
--- a/src/engine_profiles/recent_samples.cc
+++ b/src/engine_profiles/recent_samples.cc
@@ -19,14 +19,14 @@
   size_ = static_cast<std::uint8_t>(std::min<std::size_t>(size_ + 1U, kMaxSamples));
   weight_ = static_cast<float>(std::min<double>(weight + 1, kMaxSamples));
   updated_at_ = now;
-  logarithm_ = static_cast<float>(std::log(low_quantile()));
+  logarithm_ = static_cast<float>(std::log(lower_quartile()));
 }
 
 double RecentSamples::weight(MonotonicTime now) const {
   return weight_ * weight_at_age(now - updated_at_);
 }
 
-double RecentSamples::low_quantile() const {
+double RecentSamples::lower_quartile() const {
   std::array<float, kMaxSamples> sorted = values_;
   std::sort(sorted.begin(), sorted.begin() + size_);
   const double position = kQuantile * (size_ - 1);
--- a/src/engine_profiles/recent_samples.h
+++ b/src/engine_profiles/recent_samples.h
@@ -10,20 +10,20 @@
 namespace ochrespring::engine_profiles {
 
 /// Keeps a fixed number of samples. Interference only ever increases a measured time, so a low
-/// quantile is closer to the undisturbed time than the mean. Unlike the minimum, it does not
-/// decrease with the number of samples, which would make engines differ by how often they are used.
-/// No side effects.
+/// quantile is closer to the time without interference than the mean. Unlike the minimum, it does
+/// not decrease with the number of samples, which would make engines differ by how often they are
+/// used. Performs no I/O and uses no timers.
 class RecentSamples {
  public:
   void add(float value, MonotonicTime now);
   /// Returns the number of samples behind the quantile; older samples count less.
   double weight(MonotonicTime now) const;
-  /// The natural logarithm of the quantile; requires at least one sample.
-  double low_quantile_logarithm() const { return logarithm_; }
+  /// The natural logarithm of the lower quartile; requires at least one sample.
+  double log_lower_quartile() const { return logarithm_; }
   bool empty() const { return size_ == 0; }
 
  private:
-  double low_quantile() const;
+  double lower_quartile() const;
 
   static constexpr std::size_t kMaxSamples = 10;
   static constexpr double kQuantile = 0.25;
--- a/src/engine_profiles/service_paces.cc
+++ b/src/engine_profiles/service_paces.cc
@@ -9,9 +9,9 @@
 ServicePaces::ServicePaces() : counts_(std::make_tuple(Axis(kBins, kMinPace, kMaxPace))) {}
 
 void ServicePaces::add(double pace, MonotonicTime now) {
-  const auto left = static_cast<float>(weight_at_age(now - decayed_at_));
+  const auto decay_factor = static_cast<float>(weight_at_age(now - decayed_at_));
   for (float& count : boost::histogram::unsafe_access::storage(counts_)) {
-    count *= left;
+    count *= decay_factor;
   }
   decayed_at_ = now;
   counts_(pace);
@@ -28,8 +28,8 @@
     // The bin that contains the factor counts with the share of it that lies above the factor.
     slower += counts_.at(bin) * std::clamp((high - factor) / (high - low), 0.0, 1.0);
   }
-  const double left = weight_at_age(now - decayed_at_);
-  return slower * left / (all * left + kPriorReports);
+  const double decay_factor = weight_at_age(now - decayed_at_);
+  return slower * decay_factor / (all * decay_factor + kPriorReports);
 }
 
 }  // namespace ochrespring::engine_profiles
--- a/src/engine_profiles/service_paces.h
+++ b/src/engine_profiles/service_paces.h
@@ -8,7 +8,8 @@
 
 namespace ochrespring::engine_profiles {
 
-/// A histogram whose counts decay with the half-life kSampleHalfLife. No side effects.
+/// A histogram of paces (see PaceHistory) whose counts decay with the half-life kSampleHalfLife.
+/// Performs no I/O and uses no timers.
 class ServicePaces {
  public:
   ServicePaces();
--- a/src/engine_profiles/tests/engine_fleet.h
+++ b/src/engine_profiles/tests/engine_fleet.h
@@ -10,8 +10,8 @@
 
 inline const ServiceName kChat("chat");
 inline constexpr std::uint32_t kTokensPerEvent = 75;
-/// An engine of the workload at 1.2 times the nominal speed.
-inline constexpr Duration kToken = std::chrono::microseconds(540);
+/// Time per output token of a normal test engine.
+inline constexpr Duration kOutputTokenTime = std::chrono::microseconds(540);
 
 /// Returns an id of the same length as those of real engines.
 inline gateway::BackendId engine_id(int i) {
--- a/src/engine_profiles/tests/engine_profile_table_test.cc
+++ b/src/engine_profiles/tests/engine_profile_table_test.cc
@@ -29,7 +29,7 @@
 
   explicit Fixture(int engines) : fleet(make_fleet(engines)) {}
 
-  void gaps(int engine, Duration token) {
+  void observe_gaps(int engine, Duration token) {
     table.note_gaps(
         {.engine = engine_id(engine), .gaps = kGaps, .took = token * kTokensPerEvent * kGaps}, now);
   }
@@ -38,8 +38,8 @@
     REQUIRE(found);
     return *found;
   }
-  double output(int engine) {
-    return to_seconds(profile(engine).output_token) / to_seconds(kToken);
+  double relative_token_time(int engine) {
+    return to_seconds(profile(engine).output_token) / to_seconds(kOutputTokenTime);
   }
 };
 
@@ -59,17 +59,19 @@
     for (int engine = 0; engine != 12; ++engine) {
       const double speed = engine % 3 == 0 ? 0.55 / 1.2 : 1;
       const double slowdown = fixture.random.chance(0.15) ? 2.5 : 1;
-      const double prefill = fixture.random.chance(0.3) ? 1.2 : 1;
-      fixture.gaps(engine, from_seconds(to_seconds(kToken) / speed * slowdown * prefill));
+      const double prefill_slowdown = fixture.random.chance(0.3) ? 1.2 : 1;
+      fixture.observe_gaps(
+          engine, from_seconds(to_seconds(kOutputTokenTime) / speed * slowdown * prefill_slowdown));
     }
     fixture.now += milliseconds(700);
   }
   for (int engine = 0; engine != 12; ++engine) {
     CAPTURE(engine);
-    CHECK(fixture.output(engine) == doctest::Approx(engine % 3 == 0 ? 2.18 : 1).epsilon(0.15));
+    CHECK(fixture.relative_token_time(engine) ==
+          doctest::Approx(engine % 3 == 0 ? 2.18 : 1).epsilon(0.15));
   }
   CHECK(to_seconds(fixture.table.usual(kChat, fixture.now)->output_token) ==
-        doctest::Approx(to_seconds(kToken)).epsilon(0.1));
+        doctest::Approx(to_seconds(kOutputTokenTime)).epsilon(0.1));
 }
 
 TEST_CASE("identical engines get similar estimates, even if they are used unevenly") {
@@ -81,20 +83,21 @@
     for (int engine = 0; engine != 32; ++engine) {
       if (round % (1 + engine % 20) == 0) {
         const double slowdown = fixture.random.chance(0.15) ? 2.5 : 1;
-        const double late = 0.85 + 0.3 * fixture.random.unit();
-        fixture.gaps(engine, from_seconds(to_seconds(kToken) * slowdown * late));
+        const double jitter = 0.85 + 0.3 * fixture.random.unit();
+        fixture.observe_gaps(engine,
+                             from_seconds(to_seconds(kOutputTokenTime) * slowdown * jitter));
       }
     }
     fixture.now += milliseconds(500);
     if (round > 40) {
       for (int engine = 0; engine != 32; ++engine) {
-        fastest = std::min(fastest, fixture.output(engine));
-        slowest = std::max(slowest, fixture.output(engine));
+        fastest = std::min(fastest, fixture.relative_token_time(engine));
+        slowest = std::max(slowest, fixture.relative_token_time(engine));
       }
     }
   }
-  const double median =
-      to_seconds(fixture.table.usual(kChat, fixture.now)->output_token) / to_seconds(kToken);
+  const double median = to_seconds(fixture.table.usual(kChat, fixture.now)->output_token) /
+                        to_seconds(kOutputTokenTime);
   CHECK(slowest / median < 1.2);
   CHECK(median / fastest < 1.2);
 }
@@ -105,11 +108,11 @@
     // The slowdown ends right after its report; dividing by it would give 0.4 of the true time.
     fixture.table.note_pace(engine_id(0), round % 6 == 0 ? 250 : 100, fixture.now);
     fixture.now += milliseconds(400);
-    fixture.gaps(0, kToken);
-    fixture.gaps(1, kToken);
+    fixture.observe_gaps(0, kOutputTokenTime);
+    fixture.observe_gaps(1, kOutputTokenTime);
     fixture.now += milliseconds(400);
   }
-  CHECK(fixture.output(0) == doctest::Approx(1).epsilon(0.05));
+  CHECK(fixture.relative_token_time(0) == doctest::Approx(1).epsilon(0.05));
   CHECK(fixture.table.statistics().skipped == 7);
 }
 
@@ -117,36 +120,36 @@
   Fixture fixture(3);
   for (int round = 0; round != 40; ++round) {
     fixture.table.note_pace(engine_id(0), 182, fixture.now);
-    fixture.gaps(0, from_seconds(1.82 * to_seconds(kToken)));
-    fixture.gaps(1, kToken);
+    fixture.observe_gaps(0, from_seconds(1.82 * to_seconds(kOutputTokenTime)));
+    fixture.observe_gaps(1, kOutputTokenTime);
     fixture.now += milliseconds(1000);
   }
-  CHECK(fixture.output(0) == doctest::Approx(1).epsilon(0.05));
+  CHECK(fixture.relative_token_time(0) == doctest::Approx(1).epsilon(0.05));
 }
 
 TEST_CASE("an engine without recent samples has the median speed of its service") {
   Fixture fixture(6);
   for (int round = 0; round != 20; ++round) {
-    fixture.gaps(0, 2 * kToken);
-    fixture.gaps(1, kToken);
-    fixture.gaps(2, kToken);
+    fixture.observe_gaps(0, 2 * kOutputTokenTime);
+    fixture.observe_gaps(1, kOutputTokenTime);
+    fixture.observe_gaps(2, kOutputTokenTime);
     fixture.now += milliseconds(100);
   }
-  CHECK(fixture.output(0) > 1.7);
-  CHECK(fixture.output(4) == doctest::Approx(1).epsilon(0.02));
+  CHECK(fixture.relative_token_time(0) > 1.7);
+  CHECK(fixture.relative_token_time(4) == doctest::Approx(1).epsilon(0.02));
   fixture.now += seconds(60);
-  CHECK(fixture.output(0) == doctest::Approx(1).epsilon(0.1));
+  CHECK(fixture.relative_token_time(0) == doctest::Approx(1).epsilon(0.1));
 }
 
 TEST_CASE("prefill times are normalized to a prefill engine, whichever engine was measured") {
   Fixture fixture(4);
   const Duration token = microseconds(2);
   for (int round = 0; round != 10; ++round) {
-    fixture.gaps(0, kToken);
+    fixture.observe_gaps(0, kOutputTokenTime);
     fixture.table.note_prefill({.engine = engine_id(3), .took = token * 10'000, .tokens = 10'000},
                                fixture.now);
     fixture.table.note_prefill({.engine = engine_id(0),
-                                .took = 2 * token * 30'000 + kToken * kTokensPerEvent,
+                                .took = 2 * token * 30'000 + kOutputTokenTime * kTokensPerEvent,
                                 .tokens = 30'000,
                                 .with_first_event = true},
                                fixture.now);
@@ -154,7 +157,7 @@
   }
   CHECK(to_seconds(fixture.profile(3).prompt_token) == doctest::Approx(2e-6).epsilon(0.02));
   CHECK(to_seconds(fixture.profile(0).prompt_token) == doctest::Approx(2e-6).epsilon(0.02));
-  // These observations do not show the undisturbed speed.
+  // These observations do not allow an estimate of the speed.
   const auto skipped = fixture.table.statistics().skipped;
   fixture.table.note_prefill({.engine = engine_id(3), .took = token * 100, .tokens = 100},
                              fixture.now);
@@ -178,7 +181,7 @@
 
 TEST_CASE("long streams are counted and removed with a terminated engine") {
   Fixture fixture(2);
-  fixture.gaps(0, kToken);
+  fixture.observe_gaps(0, kOutputTokenTime);
   fixture.table.begin_long_stream(engine_id(0), fixture.now);
   fixture.table.begin_long_stream(engine_id(0), fixture.now);
   fixture.table.end_long_stream(engine_id(0), fixture.now);
@@ -186,21 +189,21 @@
   fixture.fleet.remove(engine_id(0));
   fixture.table.forget(engine_id(0));
   fixture.table.end_long_stream(engine_id(0), fixture.now);
-  fixture.gaps(0, kToken);
+  fixture.observe_gaps(0, kOutputTokenTime);
   CHECK(fixture.table.size() == 0);
 }
 
 TEST_CASE("implausible values are rejected") {
   Fixture fixture(5);
   for (const int engine : {0, 2, 4}) {
-    fixture.gaps(engine, kToken);
+    fixture.observe_gaps(engine, kOutputTokenTime);
   }
   fixture.now += seconds(1);
-  fixture.gaps(0, kToken);
-  fixture.gaps(1, Duration::zero());
-  fixture.gaps(1, -kToken);
-  fixture.gaps(1, 101 * kToken);
+  fixture.observe_gaps(0, kOutputTokenTime);
+  fixture.observe_gaps(1, Duration::zero());
+  fixture.observe_gaps(1, -kOutputTokenTime);
+  fixture.observe_gaps(1, 101 * kOutputTokenTime);
   fixture.table.note_pace(engine_id(1), 0, fixture.now);
   CHECK(fixture.table.statistics().rejected == 4);
-  CHECK(fixture.output(1) == doctest::Approx(1).epsilon(0.01));
+  CHECK(fixture.relative_token_time(1) == doctest::Approx(1).epsilon(0.01));
 }
--- a/src/engine_profiles/tests/profile_exchange_test.cc
+++ b/src/engine_profiles/tests/profile_exchange_test.cc
@@ -51,7 +51,7 @@
       nodes.push_back(std::make_unique<Node>(time, fleet, "n" + std::to_string(i), i + 1));
     }
   }
-  void gaps(Node& node, int engine, Duration token) {
+  void observe_gaps(Node& node, int engine, Duration token) {
     node.table.note_gaps(
         {.engine = engine_id(engine), .gaps = 8, .took = 8 * kTokensPerEvent * token}, time.now());
   }
@@ -71,10 +71,10 @@
   std::optional<gateway::EngineProfile> find(const Node& node, int engine) const {
     return node.table.find(*fleet.find(engine_id(engine)), time.now());
   }
-  /// Returns multiples of kToken; 0 if there is no profile.
-  double output(const Node& node, int engine) const {
+  /// Returns multiples of kOutputTokenTime; 0 if there is no profile.
+  double relative_token_time(const Node& node, int engine) const {
     const auto profile = find(node, engine);
-    return profile ? to_seconds(profile->output_token) / to_seconds(kToken) : 0;
+    return profile ? to_seconds(profile->output_token) / to_seconds(kOutputTokenTime) : 0;
   }
 };
 
@@ -84,15 +84,15 @@
   ExchangeFixture fixture(4, 3);
   for (int round = 0; round != 10; ++round) {
     for (int i = 0; i != 10; ++i) {
-      fixture.gaps(*fixture.nodes[0], 0, 2 * kToken);
-      fixture.gaps(*fixture.nodes[1], 1, kToken);
-      fixture.gaps(*fixture.nodes[1], 2, kToken);
+      fixture.observe_gaps(*fixture.nodes[0], 0, 2 * kOutputTokenTime);
+      fixture.observe_gaps(*fixture.nodes[1], 1, kOutputTokenTime);
+      fixture.observe_gaps(*fixture.nodes[1], 2, kOutputTokenTime);
     }
     fixture.advance(milliseconds(500));
   }
-  CHECK(fixture.output(*fixture.nodes[2], 0) == doctest::Approx(2).epsilon(0.1));
-  CHECK(fixture.output(*fixture.nodes[2], 1) == doctest::Approx(1).epsilon(0.02));
-  CHECK(fixture.output(*fixture.nodes[2], 3) == doctest::Approx(1).epsilon(0.02));
+  CHECK(fixture.relative_token_time(*fixture.nodes[2], 0) == doctest::Approx(2).epsilon(0.1));
+  CHECK(fixture.relative_token_time(*fixture.nodes[2], 1) == doctest::Approx(1).epsilon(0.02));
+  CHECK(fixture.relative_token_time(*fixture.nodes[2], 3) == doctest::Approx(1).epsilon(0.02));
 
   fixture.nodes[0]->table.begin_long_stream(engine_id(3), fixture.time.now());
   fixture.nodes[1]->table.begin_long_stream(engine_id(3), fixture.time.now());
@@ -111,24 +111,24 @@
   ExchangeFixture fixture(4, 2);
   for (int round = 0; round != 10; ++round) {
     for (int i = 0; i != 10; ++i) {
-      fixture.gaps(*fixture.nodes[0], 0, 2 * kToken);
-      fixture.gaps(*fixture.nodes[0], 1, kToken);
-      fixture.gaps(*fixture.nodes[0], 2, kToken);
+      fixture.observe_gaps(*fixture.nodes[0], 0, 2 * kOutputTokenTime);
+      fixture.observe_gaps(*fixture.nodes[0], 1, kOutputTokenTime);
+      fixture.observe_gaps(*fixture.nodes[0], 2, kOutputTokenTime);
     }
     fixture.nodes[0]->table.begin_long_stream(engine_id(0), fixture.time.now());
     fixture.advance(milliseconds(500));
   }
   fixture.advance(seconds(2), false);
-  CHECK(fixture.output(*fixture.nodes[1], 0) > 1.7);
+  CHECK(fixture.relative_token_time(*fixture.nodes[1], 0) > 1.7);
   fixture.advance(seconds(60), false);
-  CHECK(fixture.output(*fixture.nodes[1], 0) == doctest::Approx(1).epsilon(0.1));
+  CHECK(fixture.relative_token_time(*fixture.nodes[1], 0) == doctest::Approx(1).epsilon(0.1));
   CHECK(fixture.find(*fixture.nodes[1], 0)->long_streams == 0);
 }
 
 TEST_CASE("reports fit into a datagram, are sent once a second and cover every engine in turn") {
   ExchangeFixture fixture(100, 2);
   for (int i = 0; i != 100; ++i) {
-    fixture.gaps(*fixture.nodes[0], i, kToken);
+    fixture.observe_gaps(*fixture.nodes[0], i, kOutputTokenTime);
   }
   for (int second = 0; second != 6; ++second) {
     fixture.time.run_until(fixture.time.now() + seconds(1));
@@ -144,7 +144,7 @@
 
 TEST_CASE("a report received twice or by two relays counts once") {
   ExchangeFixture fixture(2, 4);
-  fixture.gaps(*fixture.nodes[0], 0, kToken);
+  fixture.observe_gaps(*fixture.nodes[0], 0, kOutputTokenTime);
   fixture.time.run_until(fixture.time.now() + seconds(1));
   REQUIRE(fixture.nodes[0]->sent.size() == 1);
   const ProfileReport report = fixture.nodes[0]->sent[0];
@@ -156,7 +156,7 @@
     REQUIRE(fixture.nodes[relay]->relayed.size() == 1);
     fixture.nodes[3]->exchange.receive(fixture.nodes[relay]->relayed[0]);
   }
-  CHECK(fixture.output(*fixture.nodes[3], 0) == doctest::Approx(1).epsilon(0.01));
+  CHECK(fixture.relative_token_time(*fixture.nodes[3], 0) == doctest::Approx(1).epsilon(0.01));
   CHECK(fixture.nodes[3]->exchange.statistics().reports_received == 1);
   CHECK(fixture.nodes[3]->exchange.statistics().duplicates == 1);
   // A node ignores its own report when a relay sends it back.
@@ -164,14 +164,14 @@
   CHECK(fixture.nodes[0]->exchange.statistics().reports_received == 0);
 }
 
-TEST_CASE("a relay forwards full datagrams at once and none that exceeds the maximum size") {
+TEST_CASE("a relay combines reports into datagrams that do not exceed the maximum size") {
   ExchangeFixture fixture(60, 2);
   Node& relay = *fixture.nodes[0];
   for (int i = 0; i != 12; ++i) {
     ProfileReport report{
         .node = NodeId("m" + std::to_string(i)), .incarnation = 1, .sequence = 1, .engines = {}};
     for (int engine = 0; engine != 5; ++engine) {
-      report.engines.push_back({.engine = engine_id(engine + i), .output = {kToken, 1}});
+      report.engines.push_back({.engine = engine_id(engine + i), .output = {kOutputTokenTime, 1}});
     }
     relay.exchange.receive_for_relay(report);
   }
@@ -189,7 +189,8 @@
   ExchangeFixture fixture(60, 2);
   for (int i = 0; i != 60; ++i) {
     for (int sample = 0; sample != 10; ++sample) {
-      fixture.gaps(*fixture.nodes[0], i, i % 4 == 0 ? 2 * kToken : kToken);
+      fixture.observe_gaps(*fixture.nodes[0], i,
+                           i % 4 == 0 ? 2 * kOutputTokenTime : kOutputTokenTime);
     }
   }
   std::vector<ProfileReport> messages;
@@ -200,8 +201,8 @@
     CHECK(wire::encode(report).size() + 1 <= ProfileExchange::kMaxMessageBytes);
     fixture.nodes[1]->exchange.receive(report);
   }
-  CHECK(fixture.output(*fixture.nodes[1], 0) == doctest::Approx(2).epsilon(0.15));
-  CHECK(fixture.output(*fixture.nodes[1], 59) == doctest::Approx(1).epsilon(0.02));
+  CHECK(fixture.relative_token_time(*fixture.nodes[1], 0) == doctest::Approx(2).epsilon(0.15));
+  CHECK(fixture.relative_token_time(*fixture.nodes[1], 59) == doctest::Approx(1).epsilon(0.02));
 }
 
 TEST_CASE("implausible reports are ignored, also before the first valid one") {
@@ -216,22 +217,23 @@
                                                      .output = {token, 1'000'000'000},
                                                      .long_streams = streams}}});
   };
-  for (const Duration token : {Duration::zero(), -kToken, Duration::min(), Duration::max()}) {
+  for (const Duration token :
+       {Duration::zero(), -kOutputTokenTime, Duration::min(), Duration::max()}) {
     report_speed(0, token);
   }
   CHECK_FALSE(fixture.find(node, 0));
   for (int engine = 0; engine != 4; ++engine) {
-    report_speed(engine, kToken);
+    report_speed(engine, kOutputTokenTime);
   }
   fixture.time.run_until(fixture.time.now() + seconds(1));
-  report_speed(1, kToken);
-  report_speed(5, 101 * kToken);
-  report_speed(5, kToken / 101);
+  report_speed(1, kOutputTokenTime);
+  report_speed(5, 101 * kOutputTokenTime);
+  report_speed(5, kOutputTokenTime / 101);
   report_speed(6, Duration::zero(), 4'000'000'000U);
-  CHECK(fixture.output(node, 5) == doctest::Approx(1).epsilon(0.01));
+  CHECK(fixture.relative_token_time(node, 5) == doctest::Approx(1).epsilon(0.01));
   CHECK(fixture.find(node, 6)->long_streams == 0);
   // An engine that is not registered is not stored: nothing would ever remove it.
   const std::size_t before = node.table.size();
-  report_speed(99, kToken);
+  report_speed(99, kOutputTokenTime);
   CHECK(node.table.size() == before);
 }
--- a/src/engine_profiles/types.h
+++ b/src/engine_profiles/types.h
@@ -10,8 +10,8 @@
 
 namespace ochrespring::engine_profiles {
 
-/// The undisturbed time per token and the number of new samples behind it; 0 samples: no value is
-/// reported.
+/// The time per token without slowdowns or other work, and the number of new samples behind it; 0
+/// samples: no value is reported.
 struct ReportedSpeed {
   Duration time_per_token{};
   std::uint32_t samples = 0;
@@ -25,7 +25,7 @@
   }
 };
 
-/// What one node knows about one engine.
+/// What one node knows about one engine; an element of ProfileReport.
 struct EngineProfileReport {
   gateway::BackendId engine;
   ReportedSpeed output{};
@@ -43,7 +43,9 @@
   }
 };
 
-/// A report in one datagram. Values are absolute, so that the next report replaces a lost one.
+/// The profiles of several engines as reported by one node in one datagram. Counts of long streams
+/// are absolute, so that the next report replaces a lost one. Samples of a lost report are not sent
+/// again.
 struct ProfileReport {
   NodeId node;
   std::uint64_t incarnation = 0;  ///< Random, drawn when the sender starts.
--- a/src/rate_limit/coordinator_selector.h
+++ b/src/rate_limit/coordinator_selector.h
@@ -11,10 +11,11 @@
 
 namespace ochrespring::rate_limit {
 
-/// Ranks nodes by rendezvous hash: all nodes that know the same fleet select the same coordinator,
-/// and back ends are distributed over the nodes. A node that does not answer (terminated but still
-/// registered, isolated, or of a build without permits) is skipped for a while, twice as long each
-/// time. No side effects; must be used from one event loop.
+/// Ranks nodes by rendezvous hash: all nodes that know the same fleet and skip the same nodes
+/// select the same coordinator, and back ends are distributed over the nodes. A node that does not
+/// answer (terminated but still registered, isolated, or running a version that does not support
+/// permits) is skipped for a while, twice as long each time. Performs no I/O and uses no timers;
+/// must be used from one event loop.
 class CoordinatorSelector {
  public:
   explicit CoordinatorSelector(const discovery::NodeDirectory& nodes) : nodes_(nodes) {}
--- a/src/rate_limit/limit_table.cc
+++ b/src/rate_limit/limit_table.cc
@@ -23,22 +23,22 @@
     return std::nullopt;
   }
   const bool limited = answer.statement.kind == Kind::kLimited;
-  const auto found = known_.find(answer.backend);
-  if (found == known_.end() && !limited) {
+  const auto found = entries_.find(answer.backend);
+  if (found == entries_.end() && !limited) {
     return std::nullopt;
   }
   LimitReport report{.backend = answer.backend,
                      .limited = limited,
                      .rate = limited ? answer.statement.rate : gateway::RequestRate(),
                      .version = 1};
-  if (found != known_.end()) {
-    const Known& known = found->second;
-    if (answer.sent < known.since || known.report.same_limit_as(report)) {
+  if (found != entries_.end()) {
+    const Entry& entry = found->second;
+    if (answer.sent < entry.learned_at || entry.report.same_limit_as(report)) {
       return std::nullopt;
     }
-    report.version = known.report.version + 1;
+    report.version = entry.report.version + 1;
   }
-  known_[answer.backend] = {report, now};
+  entries_[answer.backend] = {report, now};
   return report;
 }
 
@@ -46,26 +46,26 @@
   if (report.version == 0 || report.version > kMaxVersion) {
     return false;
   }
-  const auto found = known_.find(report.backend);
-  if (found == known_.end()) {
-    known_[report.backend] = {report, now};
+  const auto found = entries_.find(report.backend);
+  if (found == entries_.end()) {
+    entries_[report.backend] = {report, now};
     return true;
   }
-  Known& known = found->second;
-  if (!is_newer(report, known.report)) {
+  Entry& entry = found->second;
+  if (!is_newer(report, entry.report)) {
     return false;
   }
-  const bool same = known.report.same_limit_as(report);
-  known.report = report;
+  const bool same = entry.report.same_limit_as(report);
+  entry.report = report;
   if (!same) {
-    known.since = now;
+    entry.learned_at = now;
   }
   return !same;
 }
 
 const LimitReport* LimitTable::find(const gateway::BackendId& backend) const {
-  const auto found = known_.find(backend);
-  return found == known_.end() ? nullptr : &found->second.report;
+  const auto found = entries_.find(backend);
+  return found == entries_.end() ? nullptr : &found->second.report;
 }
 
 std::optional<gateway::RequestRate> LimitTable::limit_of(const gateway::BackendId& backend) const {
@@ -74,8 +74,9 @@
 }
 
 std::size_t LimitTable::limited_count() const {
-  return static_cast<std::size_t>(std::count_if(
-      known_.begin(), known_.end(), [](const auto& entry) { return entry.second.report.limited; }));
+  return static_cast<std::size_t>(
+      std::count_if(entries_.begin(), entries_.end(),
+                    [](const auto& entry) { return entry.second.report.limited; }));
 }
 
 }  // namespace ochrespring::rate_limit
--- a/src/rate_limit/limit_table.h
+++ b/src/rate_limit/limit_table.h
@@ -11,8 +11,8 @@
 
 /// Stores the latest rate limit of each back end. A limit holds until the back end answers without
 /// one. An answer counts only if its request was sent after this node learned the stored limit: the
-/// head of an older answer may have been generated before that. No side effects; must be used from
-/// one event loop.
+/// head of an older answer may have been generated before that. Performs no I/O and uses no timers;
+/// must be used from one event loop.
 class LimitTable {
  public:
   /// Higher versions are rejected as invalid: a version increases by one with each change that a
@@ -27,23 +27,23 @@
   const LimitReport* find(const gateway::BackendId& backend) const;
   /// Returns the limit in force, if any.
   std::optional<gateway::RequestRate> limit_of(const gateway::BackendId& backend) const;
-  void forget(const gateway::BackendId& backend) { known_.erase(backend); }
+  void forget(const gateway::BackendId& backend) { entries_.erase(backend); }
 
   std::size_t limited_count() const;
   template <class Visit>
   void for_each(const Visit& visit) const {
-    for (const auto& [backend, known] : known_) {
-      visit(known.report);
+    for (const auto& [backend, entry] : entries_) {
+      visit(entry.report);
     }
   }
 
  private:
-  struct Known {
+  struct Entry {
     LimitReport report;
-    MonotonicTime since{};  ///< When this node learned it.
+    MonotonicTime learned_at{};  ///< When this node learned the limit.
   };
 
-  std::map<gateway::BackendId, Known> known_;
+  std::map<gateway::BackendId, Entry> entries_;
 };
 
 }  // namespace ochrespring::rate_limit
--- a/src/rate_limit/permit_bucket.cc
+++ b/src/rate_limit/permit_bucket.cc
@@ -27,7 +27,7 @@
   if (tokens_ >= needed) {
     tokens_ -= 1;
     denied_at_.erase(rank);
-    turns_.erase(node);
+    next_request_at_.erase(node);
     return {.granted = true, .wait = {}};
   }
   denied_at_[rank] = now;
@@ -43,18 +43,19 @@
 
 /// Assigns each waiting node the time at which the next token after the last assigned one arrives.
 Duration PermitBucket::assign_wait(const NodeId& node, double missing, MonotonicTime now) {
-  std::erase_if(turns_, [&](const auto& turn) { return turn.second <= now; });
+  std::erase_if(next_request_at_, [&](const auto& entry) { return entry.second <= now; });
   const MonotonicTime token_at = now + from_seconds(missing / per_second());
-  const auto [turn, is_new] = turns_.try_emplace(node, token_at);
+  const auto [entry, is_new] = next_request_at_.try_emplace(node, token_at);
   if (is_new) {
-    const MonotonicTime last = std::max_element(turns_.begin(), turns_.end(), [](auto& a, auto& b) {
-                                 return a.second < b.second;
-                               })->second;
+    const MonotonicTime last =
+        std::max_element(next_request_at_.begin(), next_request_at_.end(), [](auto& a, auto& b) {
+          return a.second < b.second;
+        })->second;
     const MonotonicTime behind =
-        turns_.size() == 1 ? token_at : last + from_seconds(1 / per_second());
-    turn->second = std::max(token_at, std::min(behind, now + kMaxTurnWait));
+        next_request_at_.size() == 1 ? token_at : last + from_seconds(1 / per_second());
+    entry->second = std::max(token_at, std::min(behind, now + kMaxAssignedWait));
   }
-  return std::max(turn->second - now, kMinWait);
+  return std::max(entry->second - now, kMinWait);
 }
 
 }  // namespace ochrespring::rate_limit
--- a/src/rate_limit/permit_bucket.h
+++ b/src/rate_limit/permit_bucket.h
@@ -20,9 +20,10 @@
 /// one second plus one: the limit allows the requests of one second at once, and a limit below one
 /// per second has to accumulate a whole token.
 ///
-/// Each denied node is assigned its own time to ask again, so that waiting nodes do not all ask
-/// when one token arrives. A request takes the last token only if no more urgent one was denied
-/// recently. No side effects; must be used from one event loop.
+/// Denied nodes are assigned successive times to ask again, up to kMaxAssignedWait, so that waiting
+/// nodes do not all ask when one token arrives. A request takes the last token only if no more
+/// urgent one was denied recently. Performs no I/O and uses no timers; must be used from one event
+/// loop.
 class PermitBucket {
  public:
   /// `now` is the time at which the bucket starts.
@@ -31,6 +32,8 @@
 
   /// Changes the limit. Existing tokens are kept up to the new capacity.
   void set_limit(gateway::RequestRate limit, MonotonicTime now);
+  /// Takes a token for one send of `node`, or assigns the time after which the node should ask
+  /// again. A lower rank is more urgent.
   PermitDecision request_permit(const NodeId& node, gateway::SendRank rank, MonotonicTime now);
 
  private:
@@ -40,10 +43,10 @@
   static constexpr Duration kBurstSpan{std::chrono::seconds(1)};
   /// How long a denied request reserves the last token against less urgent ones.
   static constexpr Duration kUrgentReservation{std::chrono::seconds(1)};
-  /// Maximum time until a waiting node asks again, unless no token can arrive by then: other nodes
-  /// may no longer wait.
-  static constexpr Duration kMaxTurnWait{std::chrono::seconds(1)};
-  /// Minimum wait; earlier, nothing has changed.
+  /// Upper bound on an assigned wait, unless no token can arrive by then: nodes with earlier times
+  /// may have stopped waiting, and their tokens would be left unused.
+  static constexpr Duration kMaxAssignedWait{std::chrono::seconds(1)};
+  /// Minimum wait, so that a node does not ask again before anything can have changed.
   static constexpr Duration kMinWait{std::chrono::milliseconds(10)};
 
   double per_second() const;
@@ -56,7 +59,7 @@
   double tokens_ = 0;
   MonotonicTime refilled_at_;
   std::map<gateway::SendRank, MonotonicTime> denied_at_;  ///< Last denial per rank.
-  std::map<NodeId, MonotonicTime> turns_;                 ///< When each waiting node may ask again.
+  std::map<NodeId, MonotonicTime> next_request_at_;       ///< When each waiting node may ask again.
 };
 
 }  // namespace ochrespring::rate_limit
--- a/src/rate_limit/rate_limiter.cc
+++ b/src/rate_limit/rate_limiter.cc
@@ -16,11 +16,14 @@
 /// A permit request is sent again after this time, in case a datagram was lost: a round trip
 /// between zones takes about 10 ms.
 constexpr Duration kRetryDelay = milliseconds(50);
-/// After this time the request tries another back end, and a grant is no longer valid: the
-/// coordinator's bucket has been refilled since.
+/// A permit request without a reply counts as denied after this time, and the request tries another
+/// back end. A later grant is ignored: used together with the tokens that the coordinator's bucket
+/// has received since, it could exceed the limit.
 constexpr Duration kPermitTimeout = milliseconds(150);
 /// How long nothing is sent to a back end whose coordinator does not answer.
-constexpr Duration kUnansweredBackoff = milliseconds(250);
+constexpr Duration kUnansweredBlockTime = milliseconds(250);
+/// The wait that a coordinator returns for a back end that is not registered at it.
+constexpr Duration kUnknownBackendWait = milliseconds(250);
 /// Bounds on the wait that a coordinator returns.
 constexpr Duration kMinWait = milliseconds(10);
 constexpr Duration kMaxWait = std::chrono::seconds(10);
@@ -49,9 +52,9 @@
       next_sequence_(deps.random.next()) {}
 
 Duration RateLimiter::time_to_room(const gateway::BackendId& backend, MonotonicTime now) const {
-  const auto closed = closed_until_.find(backend);
-  return closed == closed_until_.end() ? Duration::zero()
-                                       : std::max(Duration::zero(), closed->second - now);
+  const auto blocked = blocked_until_.find(backend);
+  return blocked == blocked_until_.end() ? Duration::zero()
+                                         : std::max(Duration::zero(), blocked->second - now);
 }
 
 gateway::ClaimResult RateLimiter::claim(const gateway::BackendId& backend, gateway::SendRank rank,
@@ -63,66 +66,66 @@
   const MonotonicTime now = deps_.clock.now();
   const discovery::NodeRecord* coordinator = coordinators_.select(backend, now);
   if (coordinator == nullptr) {
-    const PermitDecision decision = issue(backend, deps_.nodes.self().node, rank, *limit);
+    const PermitDecision decision = decide_permit(backend, deps_.nodes.self().node, rank, *limit);
     ++(decision.granted ? statistics_.permits_granted : statistics_.permits_denied);
     if (!decision.granted) {
-      close(backend, decision.wait);
+      block_sends(backend, decision.wait);
     }
     return decision.granted ? gateway::ClaimResult::kGranted : gateway::ClaimResult::kDenied;
   }
   const std::uint64_t sequence = next_sequence_++;
-  Claim& claim = claims_.try_emplace(sequence, deps_.timers).first->second;
-  claim.request = {.node = deps_.nodes.self().node,
-                   .reply_to = deps_.nodes.self().peer_address,
-                   .sequence = sequence,
-                   .rank = rank,
-                   .known = known(backend)};
-  claim.coordinator = coordinator->node;
-  claim.coordinator_address = coordinator->peer_address;
-  claim.first_sent = now;
-  claim.done = std::move(done);
+  PendingRequest& pending = pending_requests_.try_emplace(sequence, deps_.timers).first->second;
+  pending.request = {.node = deps_.nodes.self().node,
+                     .reply_to = deps_.nodes.self().peer_address,
+                     .sequence = sequence,
+                     .rank = rank,
+                     .known = known_limit(backend)};
+  pending.coordinator = coordinator->node;
+  pending.coordinator_address = coordinator->peer_address;
+  pending.first_sent = now;
+  pending.done = std::move(done);
   send_request(sequence);
   return gateway::ClaimResult::kPending;
 }
 
 void RateLimiter::send_request(std::uint64_t sequence) {
-  Claim& claim = claims_.at(sequence);
-  channel_.send_request(claim.coordinator_address, claim.request);
-  const Duration passed = deps_.clock.now() - claim.first_sent;
+  PendingRequest& pending = pending_requests_.at(sequence);
+  channel_.send_request(pending.coordinator_address, pending.request);
+  const Duration passed = deps_.clock.now() - pending.first_sent;
   if (passed < kRetryDelay) {
-    claim.timer.arm(kRetryDelay, [this, sequence] { send_request(sequence); });
+    pending.timer.arm(kRetryDelay, [this, sequence] { send_request(sequence); });
   } else {
-    claim.timer.arm(std::max(kPermitTimeout - passed, Duration::zero()),
-                    [this, sequence] { on_unanswered(sequence); });
+    pending.timer.arm(std::max(kPermitTimeout - passed, Duration::zero()),
+                      [this, sequence] { on_unanswered(sequence); });
   }
 }
 
 void RateLimiter::on_unanswered(std::uint64_t sequence) {
-  const Claim& claim = claims_.at(sequence);
+  const PendingRequest& pending = pending_requests_.at(sequence);
   ++statistics_.permits_unanswered;
   deps_.logger.write({logging::Level::kWarning,
                       kComponent,
                       "coordinator of a rate limit does not answer",
-                      {{"backend", claim.request.known.backend.value()},
-                       {"coordinator", claim.coordinator.value()}}});
-  coordinators_.note_unanswered(claim.coordinator, deps_.clock.now());
-  close(claim.request.known.backend, kUnansweredBackoff);
+                      {{"backend", pending.request.known.backend.value()},
+                       {"coordinator", pending.coordinator.value()}}});
+  coordinators_.note_unanswered(pending.coordinator, deps_.clock.now());
+  block_sends(pending.request.known.backend, kUnansweredBlockTime);
   complete(sequence, false);
 }
 
 void RateLimiter::complete(std::uint64_t sequence, bool granted) {
-  auto claim = claims_.extract(sequence);
-  claim.mapped().timer.disarm();
-  claim.mapped().done(granted);
+  auto pending = pending_requests_.extract(sequence);
+  pending.mapped().timer.disarm();
+  pending.mapped().done(granted);
 }
 
-void RateLimiter::close(const gateway::BackendId& backend, Duration span) {
-  MonotonicTime& until = closed_until_[backend];
+void RateLimiter::block_sends(const gateway::BackendId& backend, Duration span) {
+  MonotonicTime& until = blocked_until_[backend];
   until = std::max(until, deps_.clock.now() + span);
 }
 
-PermitDecision RateLimiter::issue(const gateway::BackendId& backend, const NodeId& node,
-                                  gateway::SendRank rank, gateway::RequestRate limit) {
+PermitDecision RateLimiter::decide_permit(const gateway::BackendId& backend, const NodeId& node,
+                                          gateway::SendRank rank, gateway::RequestRate limit) {
   const MonotonicTime now = deps_.clock.now();
   PermitBucket& bucket = buckets_.try_emplace(backend, limit, now).first->second;
   bucket.set_limit(limit, now);
@@ -136,22 +139,24 @@
   merge_report(request.known, "node");
   PermitDecision decision{.granted = true, .wait = {}};
   if (const auto limit = limits_.limit_of(backend)) {
-    decision = issue(backend, request.node, request.rank, *limit);
+    decision = decide_permit(backend, request.node, request.rank, *limit);
   } else if (deps_.fleet.find(backend) == nullptr) {
-    // Either the back end or the end of its limit is not yet known to this node.
-    decision = {.granted = false, .wait = kUnansweredBackoff};
+    // The back end is not registered here: either this node has not learned of it yet, or the
+    // requester has not yet learned that it terminated.
+    decision = {.granted = false, .wait = kUnknownBackendWait};
   }
   channel_.send_reply(request.reply_to, {.node = deps_.nodes.self().node,
                                          .sequence = request.sequence,
                                          .granted = decision.granted,
                                          .wait = decision.wait,
-                                         .known = known(backend)});
+                                         .known = known_limit(backend)});
 }
 
 void RateLimiter::receive(const PermitReply& reply) {
   coordinators_.note_answered(reply.node);
-  const auto found = claims_.find(reply.sequence);
-  if (found == claims_.end() || found->second.request.known.backend != reply.known.backend) {
+  const auto found = pending_requests_.find(reply.sequence);
+  if (found == pending_requests_.end() ||
+      found->second.request.known.backend != reply.known.backend) {
     return;
   }
   const gateway::BackendId backend = reply.known.backend;
@@ -161,7 +166,7 @@
   const bool granted = unlimited || (reply.granted && in_time);
   ++(granted ? statistics_.permits_granted : statistics_.permits_denied);
   if (!granted) {
-    close(backend, std::clamp(reply.wait, kMinWait, kMaxWait));
+    block_sends(backend, std::clamp(reply.wait, kMinWait, kMaxWait));
   }
   complete(reply.sequence, granted);
 }
@@ -216,14 +221,14 @@
                        {"version", report.version}}});
   const auto bucket = buckets_.find(report.backend);
   if (!report.limited) {
-    closed_until_.erase(report.backend);
+    blocked_until_.erase(report.backend);
     buckets_.erase(report.backend);
   } else if (bucket != buckets_.end()) {
     bucket->second.set_limit(report.rate, deps_.clock.now());
   }
 }
 
-LimitReport RateLimiter::known(const gateway::BackendId& backend) const {
+LimitReport RateLimiter::known_limit(const gateway::BackendId& backend) const {
   const LimitReport* report = limits_.find(backend);
   return report != nullptr
              ? *report
@@ -242,7 +247,7 @@
   limits_.forget(backend);
   coordinators_.forget(backend);
   buckets_.erase(backend);
-  closed_until_.erase(backend);
+  blocked_until_.erase(backend);
 }
 
 void RateLimiter::add_metrics(metrics::SampleSink& sink) const {
--- a/src/rate_limit/rate_limiter.h
+++ b/src/rate_limit/rate_limiter.h
@@ -22,19 +22,21 @@
 namespace ochrespring::rate_limit {
 
 struct RateLimiterStatistics {
-  std::uint64_t permits_granted = 0;     ///< To this node's requests.
-  std::uint64_t permits_denied = 0;      ///< To this node's requests.
-  std::uint64_t permits_unanswered = 0;  ///< No coordinator answered in time; treated as denied.
-  std::uint64_t permits_issued = 0;      ///< By this node as a coordinator, to all nodes.
-  std::uint64_t limit_changes = 0;       ///< Changed limits in answers to this node.
-  std::uint64_t limits_unreadable = 0;   ///< Answers with a malformed limit.
+  std::uint64_t permits_granted = 0;  ///< To this node's requests.
+  std::uint64_t permits_denied = 0;   ///< To this node's requests.
+  /// Permit requests without a reply in time. The send is denied, but not counted in
+  /// `permits_denied`.
+  std::uint64_t permits_unanswered = 0;
+  std::uint64_t permits_issued = 0;     ///< By this node as a coordinator, to all nodes.
+  std::uint64_t limit_changes = 0;      ///< Changed limits in answers to this node.
+  std::uint64_t limits_unreadable = 0;  ///< Answers with a malformed limit.
 };
 
 /// One node of the fleet coordinates the sends to a rate-limited back end: it owns the back end's
 /// token bucket, and each node requests a permit from it before each send. Nodes learn limits from
 /// answers and from each other; each permit request and reply carries the sender's known limit. If
-/// no coordinator answers, nothing is sent: a late answer from another back end is better than an
-/// overloaded one.
+/// no coordinator answers, nothing is sent: it is better to answer late from another back end than
+/// to overload this one.
 ///
 /// Performs no input or output itself; must be used from one event loop.
 class RateLimiter final {
@@ -68,7 +70,7 @@
   /// Calls `visit` for each back end that has no room now.
   template <class Visit>
   void for_each_closed(MonotonicTime now, const Visit& visit) const {
-    for (const auto& [backend, until] : closed_until_) {
+    for (const auto& [backend, until] : blocked_until_) {
       if (until > now) {
         visit(backend);
       }
@@ -93,8 +95,8 @@
 
  private:
   /// A permit request that no coordinator has answered yet.
-  struct Claim {
-    explicit Claim(TimerService& timers) : timer(timers) {}
+  struct PendingRequest {
+    explicit PendingRequest(TimerService& timers) : timer(timers) {}
 
     PermitRequest request;
     NodeId coordinator;
@@ -104,17 +106,19 @@
     Timer timer;
   };
 
-  PermitDecision issue(const gateway::BackendId& backend, const NodeId& node,
-                       gateway::SendRank rank, gateway::RequestRate limit);
+  /// Requests a permit from this node's own bucket for the back end.
+  PermitDecision decide_permit(const gateway::BackendId& backend, const NodeId& node,
+                               gateway::SendRank rank, gateway::RequestRate limit);
   void send_request(std::uint64_t sequence);
   void on_unanswered(std::uint64_t sequence);
   void complete(std::uint64_t sequence, bool granted);
   /// Sends nothing to the back end for the given time.
-  void close(const gateway::BackendId& backend, Duration span);
+  void block_sends(const gateway::BackendId& backend, Duration span);
   /// Merges a report and, if it changes the limit, updates the state that depends on it.
   void merge_report(const LimitReport& report, std::string_view source);
   void apply_change(const LimitReport& report, std::string_view source);
-  LimitReport known(const gateway::BackendId& backend) const;
+  /// Returns this node's latest report on the back end, or one without a limit and with version 0.
+  LimitReport known_limit(const gateway::BackendId& backend) const;
 
   Dependencies deps_;
   Channel channel_;
@@ -122,8 +126,8 @@
   CoordinatorSelector coordinators_;
   /// Of back ends that this node coordinates.
   std::map<gateway::BackendId, PermitBucket> buckets_;
-  std::map<gateway::BackendId, MonotonicTime> closed_until_;
-  std::map<std::uint64_t, Claim> claims_;  ///< By sequence.
+  std::map<gateway::BackendId, MonotonicTime> blocked_until_;
+  std::map<std::uint64_t, PendingRequest> pending_requests_;  ///< By sequence.
   std::uint64_t next_sequence_;
   RateLimiterStatistics statistics_;
 };
--- a/src/rate_limit/tests/coordinator_selector_test.cc
+++ b/src/rate_limit/tests/coordinator_selector_test.cc
@@ -52,7 +52,7 @@
   CHECK(selected.size() > 10);
 }
 
-TEST_CASE("a leaving node is not selected, not even by itself") {
+TEST_CASE("a leaving node does not select itself while there are other nodes") {
   simulation::VirtualTime time;
   SelectorFixture fleet(time, 0, 6);
   fleet.nodes.leave();
@@ -61,7 +61,7 @@
   }
 }
 
-TEST_CASE("an unresponsive coordinator is skipped, each time for longer, until it answers") {
+TEST_CASE("an unresponsive coordinator is skipped, the second time for longer") {
   simulation::VirtualTime time;
   SelectorFixture fleet(time, 0, 2);
   std::string backend = "s";
--- a/src/rate_limit/tests/permit_bucket_test.cc
+++ b/src/rate_limit/tests/permit_bucket_test.cc
@@ -67,8 +67,8 @@
 }
 
 TEST_CASE(
-    "under changing limits, no window contains more grants than the highest limit allows plus one "
-    "second of it") {
+    "under changing limits, no 4 s window contains more grants than the highest limit allows in "
+    "5 s, plus one") {
   CHECK(rc::check([](const std::vector<std::uint16_t>& limits, std::uint32_t seed) {
     SeededRandom random(seed);
     PermitBucket bucket({limits.empty() ? 1000U : limits.front()}, at(0s));
--- a/src/rate_limit/tests/sharing_comparison_test.cc
+++ b/src/rate_limit/tests/sharing_comparison_test.cc
@@ -21,14 +21,16 @@
 
 constexpr std::size_t kBackends = 3;
 /// Message delay from one node to another, and by way of relays.
-constexpr Duration kOneWay = 3ms;
-constexpr Duration kByRelays = 20ms;
+constexpr Duration kDirectDelay = 3ms;
+constexpr Duration kRelayDelay = 20ms;
+/// Fleets of at least this size broadcast by way of relays.
+constexpr std::size_t kMinNodesWithRelays = 48;
 
 struct Load {
   std::size_t nodes = 6;
-  double limit = 2;       ///< Of each back end, requests per second.
-  double per_second = 0;  ///< Of all callers.
-  double skew = 0;        ///< Share of the requests that arrive at the first node.
+  double limit = 2;         ///< Of each back end, requests per second.
+  double request_rate = 0;  ///< Of all callers.
+  double skew = 0;          ///< Share of the requests that arrive at the first node.
   Duration span = 60s;
 };
 
@@ -54,8 +56,8 @@
     }
     messages += 2;
     const PermitDecision decision =
-        buckets_[backend].request_permit(NodeId("n" + std::to_string(node)), 1, now + kOneWay);
-    closed = decision.granted ? closed : now + 2 * kOneWay + decision.wait;
+        buckets_[backend].request_permit(NodeId("n" + std::to_string(node)), 1, now + kDirectDelay);
+    closed = decision.granted ? closed : now + 2 * kDirectDelay + decision.wait;
     return decision.granted;
   }
 
@@ -94,11 +96,13 @@
   std::map<std::pair<std::size_t, std::size_t>, PermitBucket> buckets_;
 };
 
-/// Each node counts the sends that all nodes have broadcast in the last seconds.
+/// Each node counts the sends that all nodes have broadcast in the last 4 s.
 class BroadcastSends final : public Sharing {
  public:
   explicit BroadcastSends(const Load& load)
-      : load_(load), lag_(load.nodes < 48 ? kOneWay : kByRelays), sends_(kBackends) {}
+      : load_(load),
+        lag_(load.nodes < kMinNodesWithRelays ? kDirectDelay : kRelayDelay),
+        sends_(kBackends) {}
   bool send(std::size_t node, std::size_t backend, MonotonicTime now) override {
     constexpr Duration kWindow = 4s;
     std::deque<Send>& sends = sends_[backend];
@@ -112,7 +116,7 @@
       return false;
     }
     sends.push_back({now, node});
-    messages += load_.nodes < 48 ? load_.nodes - 1 : 2 * load_.nodes;
+    messages += load_.nodes < kMinNodesWithRelays ? load_.nodes - 1 : 2 * load_.nodes;
     return true;
   }
 
@@ -129,7 +133,7 @@
 
 struct Outcome {
   std::size_t max_sends = 0;  ///< In 4 s, at any back end.
-  double use = 0;             ///< Share of the limits.
+  double utilization = 0;     ///< Share of the limits.
   double messages = 0;        ///< Per second and node.
 };
 
@@ -137,7 +141,7 @@
   SeededRandom random(11);
   std::vector<std::vector<MonotonicTime>> sent(kBackends);
   const MonotonicTime end = MonotonicTime() + load.span;
-  MonotonicTime now = MonotonicTime() + from_seconds(random.exponential(1 / load.per_second));
+  MonotonicTime now = MonotonicTime() + from_seconds(random.exponential(1 / load.request_rate));
   while (now < end) {
     const std::size_t node = random.chance(load.skew) ? 0 : random.below(load.nodes);
     const std::size_t first = random.below(kBackends);
@@ -148,7 +152,7 @@
         break;
       }
     }
-    now += from_seconds(random.exponential(1 / load.per_second));
+    now += from_seconds(random.exponential(1 / load.request_rate));
   }
   Outcome outcome;
   for (const std::vector<MonotonicTime>& times : sent) {
@@ -159,8 +163,8 @@
       }
       outcome.max_sends = std::max(outcome.max_sends, newest - oldest + 1);
     }
-    outcome.use += static_cast<double>(times.size()) /
-                   (load.limit * to_seconds(load.span) * static_cast<double>(kBackends));
+    outcome.utilization += static_cast<double>(times.size()) /
+                           (load.limit * to_seconds(load.span) * static_cast<double>(kBackends));
   }
   outcome.messages = static_cast<double>(sharing.messages) /
                      (to_seconds(load.span) * static_cast<double>(load.nodes));
@@ -175,26 +179,28 @@
 
 }  // namespace
 
-TEST_CASE("permits keep and use the limits for all fleet sizes, limits and skews") {
+TEST_CASE(
+    "with permits, 4 s contain at most 6 times the limit plus 5 sends, and at least 80% of the "
+    "limits is used") {
   for (const std::size_t nodes : {6U, 20U, 100U, 340U}) {
     for (const double limit : {0.7, 1.3, 8.0}) {
       for (const double skew : {0.0, 0.9}) {
         const Load load{.nodes = nodes,
                         .limit = limit,
-                        .per_second = 3 * limit * static_cast<double>(kBackends),
+                        .request_rate = 3 * limit * static_cast<double>(kBackends),
                         .skew = skew};
         const Outcome permits = simulate<Permits>(load);
         const Outcome few_senders = simulate<FewSenders>(load);
         const Outcome broadcast = simulate<BroadcastSends>(load);
-        MESSAGE("nodes " << nodes << ", limit " << limit << ", skew " << skew
-                         << ": maximum sends in 4 s, use, messages per node and second: permits "
-                         << permits.max_sends << ", " << permits.use << ", " << permits.messages
-                         << "; few senders " << few_senders.max_sends << ", " << few_senders.use
-                         << ", " << few_senders.messages << "; broadcast sends "
-                         << broadcast.max_sends << ", " << broadcast.use << ", "
-                         << broadcast.messages);
+        MESSAGE("nodes "
+                << nodes << ", limit " << limit << ", skew " << skew
+                << ": maximum sends in 4 s, utilization, messages per node and second: permits "
+                << permits.max_sends << ", " << permits.utilization << ", " << permits.messages
+                << "; few senders " << few_senders.max_sends << ", " << few_senders.utilization
+                << ", " << few_senders.messages << "; broadcast sends " << broadcast.max_sends
+                << ", " << broadcast.utilization << ", " << broadcast.messages);
         CHECK(static_cast<double>(permits.max_sends) <= 6 * limit + 5);
-        CHECK(permits.use >= 0.8);
+        CHECK(permits.utilization >= 0.8);
       }
     }
   }
--- a/src/rate_limit/types.h
+++ b/src/rate_limit/types.h
@@ -40,14 +40,14 @@
   }
 };
 
-/// Requests a permit for one send from the coordinator of a rate-limited back end.
+/// A request for a permit for one send, sent to the coordinator of a rate-limited back end.
 struct PermitRequest {
   NodeId node;
   Endpoint reply_to;
   /// Identifies the request; not reused by any incarnation of the node.
   std::uint64_t sequence = 0;
   gateway::SendRank rank = 0;
-  LimitReport known;
+  LimitReport known;  ///< The sender's latest report on the back end.
 
   template <class Archive>
   void serialize(Archive& archive, unsigned /*version*/) {
@@ -59,12 +59,13 @@
   }
 };
 
+/// The coordinator's reply to a PermitRequest.
 struct PermitReply {
   NodeId node;  ///< The coordinator.
   std::uint64_t sequence = 0;
   bool granted = false;
-  Duration wait{};  ///< If denied: the time until the next request.
-  LimitReport known;
+  Duration wait{};    ///< If denied: the time until the next request.
+  LimitReport known;  ///< The sender's latest report on the back end.
 
   template <class Archive>
   void serialize(Archive& archive, unsigned /*version*/) {
