--- a/src/admission_queue/tests/queued_request_test.cc
+++ b/src/admission_queue/tests/queued_request_test.cc
@@ -85,7 +85,7 @@
   CHECK(fixture.sends() == 1);
 }
 
-TEST_CASE("the queues of many nodes do not wake up at the same time") {
+TEST_CASE("the queues of many nodes are not dispatched at the same time") {
   struct Waiter final : QueueWaiter {
     explicit Waiter(const Clock& its_clock) : clock(its_clock) {}
     QueueTurn take_turn() override {
--- a/src/rate_limit/tests/sharing_comparison_test.cc
+++ b/src/rate_limit/tests/sharing_comparison_test.cc
@@ -50,20 +50,20 @@
     buckets_.assign(kBackends, PermitBucket({rate}, MonotonicTime()));
   }
   bool send(std::size_t node, std::size_t backend, MonotonicTime now) override {
-    MonotonicTime& closed = closed_[{node, backend}];
-    if (now < closed) {
+    MonotonicTime& blocked_until = blocked_until_[{node, backend}];
+    if (now < blocked_until) {
       return false;
     }
     messages += 2;
     const PermitDecision decision =
         buckets_[backend].request_permit(NodeId("n" + std::to_string(node)), 1, now + kDirectDelay);
-    closed = decision.granted ? closed : now + 2 * kDirectDelay + decision.wait;
+    blocked_until = decision.granted ? blocked_until : now + 2 * kDirectDelay + decision.wait;
     return decision.granted;
   }
 
  private:
   std::vector<PermitBucket> buckets_;
-  std::map<std::pair<std::size_t, std::size_t>, MonotonicTime> closed_;
+  std::map<std::pair<std::size_t, std::size_t>, MonotonicTime> blocked_until_;
 };
 
 /// As many nodes as the limit allows requests per second share it evenly, selected by rendezvous
