--- a/src/gateway_load/tests/fixed_admission_test.cc
+++ b/src/gateway_load/tests/fixed_admission_test.cc
@@ -1,4 +1,4 @@
-// The fixture with the simplest admission: so many calls of a class at the engines, no more.
+// Tests the fixture with the simplest admission: a fixed limit on the calls in flight.
 #include <doctest/doctest.h>
 
 #include <chrono>
@@ -13,16 +13,17 @@
 
 namespace {
 
-/// Knows all nodes' calls at once, as no node does.
+/// Limits the calls in flight of each class over all nodes; a real node sees only its own calls.
 class FixedAdmission final : public Admission {
  public:
-  explicit FixedAdmission(std::map<std::string, std::uint32_t> most) : most_(std::move(most)) {}
-  /// All classes together.
-  explicit FixedAdmission(std::uint32_t most) : most_({{kAll, most}}) {}
+  explicit FixedAdmission(std::map<std::string, std::uint32_t> limits)
+      : limits_(std::move(limits)) {}
+  /// One limit for all classes together.
+  explicit FixedAdmission(std::uint32_t limits) : limits_({{kAll, limits}}) {}
 
   void arrived(const Arrival& arrival) override {
-    const std::string name = most_.contains(kAll) ? kAll : arrival.request_class->name;
-    if (running_[name] >= most_.at(name)) {
+    const std::string name = limits_.contains(kAll) ? kAll : arrival.request_class->name;
+    if (running_[name] >= limits_.at(name)) {
       arrival.reject(100ms);
       return;
     }
@@ -38,16 +39,17 @@
 
  private:
   static constexpr const char* kAll = "all";
-  std::map<std::string, std::uint32_t> most_;
+  std::map<std::string, std::uint32_t> limits_;
   std::map<std::string, std::uint32_t> running_;
   std::map<CallId, std::string> sent_;
 };
 
 }  // namespace
 
-// Guards against bounds of two_classes_test that no admission could meet on these engines: of the
-// 24 slots half are for chats.
-TEST_CASE("with a bound on calls in flight each class gets its share above the capacity") {
+// Guards against bounds in two_classes_test that no admission could meet on these engines. Half of
+// the 24 slots are for chats.
+TEST_CASE(
+    "a limit on calls in flight gives each class its share when demand exceeds the capacity") {
   for (const double load : {1.2, 2.0, 4.0}) {
     for (const std::uint64_t seed : kSeeds) {
       CAPTURE(load);
@@ -62,13 +64,13 @@
   }
 }
 
-// Guards against a fixture in which rejected callers do not come back, or are not told apart: the
-// checks of queues under callers that ignore what they are told would say nothing.
-TEST_CASE("rejected callers come back, at once or when they were told to") {
+// Guards against a fixture in which rejected callers do not retry, or in which the two kinds of
+// retries are not distinguished: checks of callers that ignore the retry time would prove nothing.
+TEST_CASE("rejected callers retry after a fixed wait or at the time that the rejection named") {
   class RejectsNew final : public Admission {
    public:
     void arrived(const Arrival& arrival) override {
-      ++(arrival.came_back ? returned : fresh);
+      ++(arrival.honored_retry_after ? returned : fresh);
       arrival.reject(1s);
     }
     void left(std::size_t /*node*/, CallId /*call*/) override {}
@@ -91,16 +93,17 @@
   }
 }
 
-// Guards against a check of hasty callers that nothing fails: where calls of all classes compete
-// for the same bound, whoever comes more often gets more.
+// Guards against a check of hasty callers that cannot fail: under one limit for all classes,
+// callers that retry more often get more calls on time.
 TEST_CASE(
-    "hasty callers gain where admission does not tell them apart, and nothing where it does") {
+    "hasty callers gain under a limit shared by all classes and gain nothing under a limit per "
+    "class") {
   const auto gains_nothing = [](FixedAdmission admission, std::uint64_t seed) {
-    LoadFleet fleet(service_a_with_haste(equal_engines(4), 2, seed));
+    LoadFleet fleet(service_a_with_hasty_callers(equal_engines(4), 2, seed));
     fleet.set_admission(&admission);
-    set_haste(fleet);
+    set_retry_behavior(fleet);
     fleet.run(kWarmUp, kMeasured);
-    return haste_gains_nothing(fleet);
+    return hasty_callers_gain_nothing(fleet);
   };
   for (const std::uint64_t seed : kSeeds) {
     CAPTURE(seed);
--- a/src/gateway_load/tests/load_fleet.cc
+++ b/src/gateway_load/tests/load_fleet.cc
@@ -17,26 +17,26 @@
 
 namespace {
 
-/// Resolution at which nodes hear of engines; event times are exact.
+/// Interval at which nodes receive the events of engines; the times of events are exact.
 constexpr Duration kTick = 1ms;
-/// Shared prompts of a class; all of them fit into every engine's memory.
+/// Distinct shared prompts of a class; all of them fit into the cache of every engine.
 constexpr std::uint64_t kSharedPrompts = 12;
-/// Output tokens of a stream that counts as long: at least so many events to come.
-constexpr std::uint32_t kLongEvents = 4;
-/// After a node's last word, as PeerWork::kReportLifetime.
-constexpr Duration kForgottenAfter = 2500ms;
+/// A stream counts as long while at least this many events remain.
+constexpr std::uint32_t kLongStreamMinEvents = 4;
+/// Time after which nodes discard the last report of a node, as PeerWork::kReportLifetime.
+constexpr Duration kReportLifetime = 2500ms;
 constexpr int kSampledCalls = 20'000;
 const ServiceName kService("llm");
 
 }  // namespace
 
-/// Work of the other nodes, as of `news_delay` ago.
-class LoadFleet::DelayedPeers final : public gateway::PeerView {
+/// Work of the other nodes as of `report_delay` ago.
+class LoadFleet::DelayedPeerLoads final : public gateway::PeerView {
  public:
-  void hear(std::size_t node, const BackendId& engine, gateway::EngineWorkload work) {
+  void receive(std::size_t node, const BackendId& engine, gateway::EngineWorkload work) {
     work_[engine][node] = work;
   }
-  void forget(std::size_t node) {
+  void expire(std::size_t node) {
     for (auto& [engine, work] : work_) {
       work.erase(node);
     }
@@ -56,10 +56,10 @@
   std::map<BackendId, std::map<std::size_t, gateway::EngineWorkload>> work_;
 };
 
-/// Tells what is true, which learned profiles come close to.
-class LoadFleet::TrueProfiles final : public gateway::EngineProfiles {
+/// Returns the exact profiles of the engines; the profiles that a real node learns approach them.
+class LoadFleet::ExactProfiles final : public gateway::EngineProfiles {
  public:
-  explicit TrueProfiles(const LoadFleet& fleet) : fleet_(fleet) {}
+  explicit ExactProfiles(const LoadFleet& fleet) : fleet_(fleet) {}
 
   std::optional<gateway::EngineProfile> find(const gateway::Backend& engine,
                                              MonotonicTime /*now*/) const override;
@@ -89,7 +89,7 @@
   SeededRandom random;
   gateway::FleetState fleet;
   gateway::LoadTable loads;
-  DelayedPeers peers;
+  DelayedPeerLoads peers;
   std::unique_ptr<gateway::Placement> placement;
 };
 
@@ -98,35 +98,36 @@
   const RequestClass* request_class = nullptr;
   std::size_t node = 0;
   MonotonicTime arrived;
-  MonotonicTime came_first;  ///< The caller, with an earlier call if that was rejected.
+  MonotonicTime first_arrival;  ///< Arrival of the caller's first call, before any retry.
   MonotonicTime deadline;
   std::uint32_t events = 1;
   gateway::Prompt prompt;
-  bool counts = false;
+  bool counted = false;
   bool sent = false;
   BackendId runner{};
-  BackendId at{};                  ///< Engine that works on it now; empty: none.
-  std::uint64_t unread_there = 0;  ///< As told to the LoadTable, not yet read.
-  std::uint32_t seen = 0;          ///< Events that the caller has.
+  BackendId at{};                        ///< Engine that processes the call now; empty: none.
+  std::uint64_t unprefilled_tokens = 0;  ///< Counted in the LoadTable, not yet prefilled.
+  std::uint32_t events_sent = 0;         ///< Events sent to the caller.
   MonotonicTime last_event{};
   bool on_time = true;
 };
 
-std::optional<gateway::EngineProfile> LoadFleet::TrueProfiles::find(const gateway::Backend& engine,
-                                                                    MonotonicTime /*now*/) const {
+std::optional<gateway::EngineProfile> LoadFleet::ExactProfiles::find(const gateway::Backend& engine,
+                                                                     MonotonicTime /*now*/) const {
   const auto found = fleet_.engines_.find(engine.id);
   if (found == fleet_.engines_.end()) {
     return std::nullopt;
   }
   gateway::EngineProfile profile = found->second->profile();
   for (const auto& [id, call] : fleet_.calls_) {
-    profile.long_streams += call.at == engine.id && call.events >= call.seen + kLongEvents;
+    profile.long_streams +=
+        call.at == engine.id && call.events >= call.events_sent + kLongStreamMinEvents;
   }
   return profile;
 }
 
-std::optional<gateway::EngineProfile> LoadFleet::TrueProfiles::usual(const ServiceName& /*service*/,
-                                                                     MonotonicTime /*now*/) const {
+std::optional<gateway::EngineProfile> LoadFleet::ExactProfiles::usual(
+    const ServiceName& /*service*/, MonotonicTime /*now*/) const {
   std::vector<gateway::EngineProfile> all;
   for (const auto& [id, engine] : fleet_.engines_) {
     all.push_back(engine->profile());
@@ -141,7 +142,7 @@
 LoadFleet::LoadFleet(FleetOptions options)
     : options_(std::move(options)),
       random_(options_.seed),
-      profiles_(std::make_unique<TrueProfiles>(*this)) {
+      profiles_(std::make_unique<ExactProfiles>(*this)) {
   for (const EngineOptions& engine : options_.engines) {
     gateway::Backend backend;
     backend.id = BackendId("i-" + std::to_string(engine_order_.size()));
@@ -161,10 +162,10 @@
       node.fleet.put(engine->backend());
     }
     node.loads.set_peers(&node.peers);
-    node.loads.on_change([this, index](const BackendId& id) { tell_peers(index, id); });
+    node.loads.on_change([this, index](const BackendId& id) { send_report_to_peers(index, id); });
     node.loads.on_prompt(
         [this, index](const BackendId& id, const std::vector<std::uint64_t>& keys) {
-          at(options_.news_delay, [this, index, id, keys] {
+          at(options_.report_delay, [this, index, id, keys] {
             for (std::size_t other = 0; other != nodes_.size(); ++other) {
               if (other != index) {
                 for (const std::uint64_t key : keys) {
@@ -175,13 +176,13 @@
           });
         });
     node.placement = std::make_unique<gateway::Placement>(make_placement(node));
-    living_nodes_.push_back(index);
+    running_nodes_.push_back(index);
   }
 }
 
 LoadFleet::~LoadFleet() = default;
 
-// The two functions below are the only ones that know what placement is given.
+// Only the two functions below depend on the inputs of Placement.
 gateway::Placement LoadFleet::make_placement(Node& node) {
   return {node.fleet, node.loads, node.random, ZoneName(node.zone), profiles_.get()};
 }
@@ -207,12 +208,12 @@
   return request;
 }
 
-void LoadFleet::tell_peers(std::size_t node, const BackendId& engine) {
+void LoadFleet::send_report_to_peers(std::size_t node, const BackendId& engine) {
   const gateway::EngineWorkload work = nodes_[node]->loads.own(engine);
-  at(options_.news_delay, [this, node, engine, work] {
+  at(options_.report_delay, [this, node, engine, work] {
     for (std::size_t other = 0; other != nodes_.size(); ++other) {
       if (other != node) {
-        nodes_[other]->peers.hear(node, engine, work);
+        nodes_[other]->peers.receive(node, engine, work);
       }
     }
   });
@@ -232,32 +233,32 @@
   engines_.at(engine_order_.at(engine))->set_pace(pace, time_.now());
 }
 
-void LoadFleet::end_engine(std::size_t engine) {
+void LoadFleet::terminate_engine(std::size_t engine) {
   const BackendId id = engine_order_.at(engine);
   engine_order_.erase(engine_order_.begin() + static_cast<std::ptrdiff_t>(engine));
   for (const auto& node : nodes_) {
     node->fleet.remove(id);
   }
-  end_all([&](const Call& call) { return call.at == id || call.runner == id; });
+  end_calls_if([&](const Call& call) { return call.at == id || call.runner == id; });
   engines_.erase(id);
 }
 
-void LoadFleet::end_node(std::size_t node) {
-  std::erase(living_nodes_, node);
-  // The others are not told: they count its work until they forget it.
+void LoadFleet::terminate_node(std::size_t node) {
+  std::erase(running_nodes_, node);
+  // The other nodes receive no notice: they count its work until its report expires.
   nodes_.at(node)->loads = gateway::LoadTable();
-  end_all([&](const Call& call) { return call.node == node; });
-  at(kForgottenAfter, [this, node] {
+  end_calls_if([&](const Call& call) { return call.node == node; });
+  at(kReportLifetime, [this, node] {
     for (const auto& other : nodes_) {
-      other->peers.forget(node);
+      other->peers.expire(node);
     }
   });
 }
 
-void LoadFleet::end_all(const std::function<bool(const Call&)>& concerned) {
+void LoadFleet::end_calls_if(const std::function<bool(const Call&)>& affected) {
   std::vector<CallId> ended;
   for (const auto& [id, call] : calls_) {
-    if (concerned(call)) {
+    if (affected(call)) {
       ended.push_back(id);
     }
   }
@@ -266,22 +267,22 @@
   }
 }
 
-void LoadFleet::set_patience(const std::string& name, Duration patience) {
-  patience_[name] = patience;
+void LoadFleet::set_disconnect_after(const std::string& name, Duration disconnect_after) {
+  disconnect_after_[name] = disconnect_after;
 }
 
 std::uint32_t LoadFleet::draw_events(const RequestClass& request_class,
                                      RandomSource& random) const {
-  const double more = request_class.mean_events - request_class.least_events;
-  const auto events = request_class.least_events +
-                      static_cast<std::uint32_t>(std::lround(random.exponential(more)));
-  return std::min(events, request_class.most_events);
+  const double more = request_class.mean_events - request_class.min_events;
+  const auto events =
+      request_class.min_events + static_cast<std::uint32_t>(std::lround(random.exponential(more)));
+  return std::min(events, request_class.max_events);
 }
 
 double LoadFleet::capacity() const {
   SeededRandom random(options_.seed);
-  double prefill = 0;  // Engine-seconds a second at a prefill-only engine of speed 1.
-  double decode = 0;   // The same at any other, with all slots in use.
+  double prefill = 0;  // Engine-seconds per second at a prefill-only engine of speed 1.
+  double decode = 0;   // The same at any other engine with all slots in use.
   const EnginePerformance& performance = options_.performance;
   for (const RequestClass& request_class : options_.classes) {
     double gaps = 0;
@@ -295,13 +296,14 @@
     decode += request_class.per_second * tokens * to_seconds(performance.output_token) /
               performance.slots;
   }
-  double readers = 0;
-  double runners = 0;
+  double prefill_speed = 0;
+  double decode_speed = 0;
   for (const EngineOptions& engine : options_.engines) {
-    (engine.role == gateway::EngineRole::kPrefill ? readers : runners) += engine.speed;
+    (engine.role == gateway::EngineRole::kPrefill ? prefill_speed : decode_speed) += engine.speed;
   }
-  // What prefill-only engines cannot read costs the others twice the time.
-  return std::min(runners / decode, (runners + 2 * readers) / (decode + 2 * prefill));
+  // Prefill that exceeds the prefill-only engines takes twice the time at the others.
+  return std::min(decode_speed / decode,
+                  (decode_speed + 2 * prefill_speed) / (decode + 2 * prefill));
 }
 
 gateway::Prompt LoadFleet::make_prompt(const RequestClass& request_class, std::uint32_t events,
@@ -324,33 +326,34 @@
   const double factor = found == demand_.end() ? 1 : found->second;
   const double rate = request_class.per_second * factor / static_cast<double>(nodes_.size());
   at(from_seconds(random_.exponential(1 / rate)), [this, class_index, node] {
-    if (arriving_ && !living_nodes_.empty()) {
-      const bool lives = std::ranges::find(living_nodes_, node) != living_nodes_.end();
-      arrive(class_index, lives ? node : living_nodes_[random_.below(living_nodes_.size())]);
+    if (arriving_ && !running_nodes_.empty()) {
+      const bool running = std::ranges::find(running_nodes_, node) != running_nodes_.end();
+      arrive(class_index, running ? node : running_nodes_[random_.below(running_nodes_.size())]);
       schedule_arrival(class_index, node);
     }
   });
 }
 
 void LoadFleet::arrive(std::size_t class_index, std::size_t node,
-                       std::optional<MonotonicTime> came_first) {
+                       std::optional<MonotonicTime> first_arrival) {
   const RequestClass& request_class = options_.classes[class_index];
   const CallId id = next_call_++;
   Call& call = calls_[id];
   call.id = id;
-  call.came_first = came_first.value_or(time_.now());
+  call.first_arrival = first_arrival.value_or(time_.now());
   call.request_class = &request_class;
   call.node = node;
   call.arrived = time_.now();
   call.deadline = time_.now() + request_class.deadline;
   call.events = draw_events(request_class, random_);
   call.prompt = make_prompt(request_class, call.events, id);
-  call.counts = measuring_;
-  tallies_[request_class.name].offered += call.counts;
+  call.counted = measuring_;
+  tallies_[request_class.name].offered += call.counted;
   at(request_class.deadline, [this, id] { end(id, AttemptOutcome::kAbandoned, &Tally::cut_off); });
-  const auto patience = patience_.find(request_class.name);
-  if (patience != patience_.end()) {
-    at(patience->second, [this, id] { end(id, AttemptOutcome::kAbandoned, &Tally::disconnects); });
+  const auto disconnect_after = disconnect_after_.find(request_class.name);
+  if (disconnect_after != disconnect_after_.end()) {
+    at(disconnect_after->second,
+       [this, id] { end(id, AttemptOutcome::kAbandoned, &Tally::disconnects); });
   }
   if (admission_ == nullptr) {
     send(id);
@@ -361,30 +364,30 @@
        .call = id,
        .request_class = &request_class,
        .deadline = call.deadline,
-       .came_back = came_first.has_value() && obeys(request_class),
+       .honored_retry_after = first_arrival.has_value() && honors_retry_after(request_class),
        .send = [this, id] { send(id); },
        .reject = [this, id,
                   class_index](Duration retry_after) { reject(id, class_index, retry_after); }});
 }
 
-bool LoadFleet::obeys(const RequestClass& request_class) const {
+bool LoadFleet::honors_retry_after(const RequestClass& request_class) const {
   const auto retries = retries_.find(request_class.name);
   return retries != retries_.end() && !retries->second.has_value();
 }
 
 void LoadFleet::reject(CallId id, std::size_t class_index, Duration retry_after) {
   const std::size_t node = calls_.at(id).node;
-  const MonotonicTime came_first = calls_.at(id).came_first;
+  const MonotonicTime first_arrival = calls_.at(id).first_arrival;
   end(id, AttemptOutcome::kNotSent, &Tally::rejected);
   const RequestClass& request_class = options_.classes[class_index];
   const auto retries = retries_.find(request_class.name);
-  if (retries == retries_.end() || time_.now() - came_first > request_class.deadline) {
+  if (retries == retries_.end() || time_.now() - first_arrival > request_class.deadline) {
     return;
   }
-  at(retries->second.value_or(retry_after), [this, class_index, node, came_first] {
-    const bool lives = std::ranges::find(living_nodes_, node) != living_nodes_.end();
-    if (arriving_ && lives) {
-      arrive(class_index, node, came_first);
+  at(retries->second.value_or(retry_after), [this, class_index, node, first_arrival] {
+    const bool running = std::ranges::find(running_nodes_, node) != running_nodes_.end();
+    if (arriving_ && running) {
+      arrive(class_index, node, first_arrival);
     }
   });
 }
@@ -399,15 +402,15 @@
     return;
   }
   call.runner = plan.runner.backend->id;
-  const bool apart = plan.prefill.backend != nullptr;
-  const gateway::PlacementChoice& reader = apart ? plan.prefill : plan.runner;
-  // A cache that would be fetched from another engine is read anew: the engine model has no
-  // fetches. Shared prompts are few, so that all engines hold them after the warm-up.
-  call.unread_there = reader.prefill_tokens;
+  const bool separate_prefill = plan.prefill.backend != nullptr;
+  const gateway::PlacementChoice& prefill_engine = separate_prefill ? plan.prefill : plan.runner;
+  // The engine model has no cache fetches: a part that placement plans to fetch from another engine
+  // is prefilled again. Shared prompts are few, so that all engines hold them after the warm-up.
+  call.unprefilled_tokens = prefill_engine.prefill_tokens;
   gateway::LoadTable& loads = nodes_[call.node]->loads;
-  loads.note_prompt(reader.backend->id, call.prompt, time_.now());
-  submit(call, apart ? SequenceKind::kPrefill : SequenceKind::kWhole, engine_of(*reader.backend),
-         time_.now());
+  loads.note_prompt(prefill_engine.backend->id, call.prompt, time_.now());
+  submit(call, separate_prefill ? SequenceKind::kPrefill : SequenceKind::kWhole,
+         engine_of(*prefill_engine.backend), time_.now());
 }
 
 void LoadFleet::submit(Call& call, SequenceKind kind, SimulatedEngine& engine,
@@ -425,7 +428,7 @@
     }
   }
   call.at = engine.backend().id;
-  nodes_[call.node]->loads.begin(call.at, call.unread_there);
+  nodes_[call.node]->loads.begin(call.at, call.unprefilled_tokens);
   engine.submit(std::move(spec), time_.now());
 }
 
@@ -443,12 +446,12 @@
 void LoadFleet::take_event(SimulatedEngine& engine, const engine_model::SequenceEvent& event) {
   const auto found = calls_.find(event.sequence);
   if (found == calls_.end() || found->second.at != engine.backend().id) {
-    return;  // Cut off meanwhile.
+    return;  // The call has ended or has moved to another engine.
   }
   Call& call = found->second;
   switch (event.kind) {
     case SequenceEventKind::kPrefilled:
-      hand_over(call, engine);
+      transfer_to_runner(call, engine);
       break;
     case SequenceEventKind::kFirstToken:
     case SequenceEventKind::kToken:
@@ -463,13 +466,13 @@
   }
 }
 
-void LoadFleet::hand_over(Call& call, SimulatedEngine& reader) {
-  nodes_[call.node]->loads.note_report(call.at, reader.report(), time_.now());
+void LoadFleet::transfer_to_runner(Call& call, SimulatedEngine& prefill_engine) {
+  nodes_[call.node]->loads.note_report(call.at, prefill_engine.report(), time_.now());
   end_attempt(call, AttemptOutcome::kSucceeded);
   SimulatedEngine& runner = *engines_.at(call.runner);
-  const bool near = runner.backend().zone == reader.backend().zone;
-  const MonotonicTime ready = reader.export_cache(
-      call.id, near ? engine_model::Distance::kSameZone : engine_model::Distance::kOtherZone,
+  const bool same_zone = runner.backend().zone == prefill_engine.backend().zone;
+  const MonotonicTime ready = prefill_engine.export_cache(
+      call.id, same_zone ? engine_model::Distance::kSameZone : engine_model::Distance::kOtherZone,
       time_.now());
   submit(call, SequenceKind::kImport, runner, ready);
 }
@@ -479,38 +482,38 @@
   if ((event.tokens_done - 1) % options_.performance.tokens_per_event != 0) {
     return;
   }
-  if (call.seen == 0) {
+  if (call.events_sent == 0) {
     call.on_time = event.at - call.arrived <= call.request_class->first_event;
-    nodes_[call.node]->loads.note_prefilled(call.at, std::exchange(call.unread_there, 0));
+    nodes_[call.node]->loads.note_prefilled(call.at, std::exchange(call.unprefilled_tokens, 0));
     nodes_[call.node]->loads.note_report(call.at, engine.report(), time_.now());
   } else {
     call.on_time = call.on_time && event.at - call.last_event <= call.request_class->gap;
   }
-  ++call.seen;
+  ++call.events_sent;
   call.last_event = event.at;
 }
 
-void LoadFleet::end_attempt(Call& call, AttemptOutcome verdict) {
+void LoadFleet::end_attempt(Call& call, AttemptOutcome outcome) {
   gateway::LoadTable& loads = nodes_[call.node]->loads;
-  loads.note_prefilled(call.at, std::exchange(call.unread_there, 0));
-  loads.end(call.at, verdict, time_.now());
+  loads.note_prefilled(call.at, std::exchange(call.unprefilled_tokens, 0));
+  loads.end(call.at, outcome, time_.now());
   call.at = BackendId();
 }
 
-void LoadFleet::end(CallId id, AttemptOutcome verdict, std::uint32_t Tally::*count) {
+void LoadFleet::end(CallId id, AttemptOutcome outcome, std::uint32_t Tally::*count) {
   const auto found = calls_.find(id);
   if (found == calls_.end()) {
     return;
   }
   Call& call = found->second;
-  const bool worked_on = !call.at.value().empty();
-  if (worked_on && verdict == AttemptOutcome::kAbandoned) {
+  const bool in_progress = !call.at.value().empty();
+  if (in_progress && outcome == AttemptOutcome::kAbandoned) {
     engines_.at(call.at)->cancel(id, time_.now());
   }
-  if (worked_on) {
-    end_attempt(call, verdict);
+  if (in_progress) {
+    end_attempt(call, outcome);
   }
-  if (call.counts) {
+  if (call.counted) {
     ++(tallies_.at(call.request_class->name).*count);
   }
   const std::size_t node = call.node;
@@ -518,7 +521,7 @@
   calls_.erase(found);
   if (admission_ != nullptr && sent) {
     admission_->ended(node, id);
-  } else if (admission_ != nullptr && verdict == AttemptOutcome::kAbandoned) {
+  } else if (admission_ != nullptr && outcome == AttemptOutcome::kAbandoned) {
     admission_->left(node, id);
   }
 }
--- a/src/gateway_load/tests/simulated_engine.cc
+++ b/src/gateway_load/tests/simulated_engine.cc
@@ -8,10 +8,10 @@
 
 namespace {
 
-/// An engine that also decodes prefills at half the rate.
-constexpr double kBesideDecoding = 2;
+/// Factor on the prefill time of an engine that also decodes.
+constexpr double kMixedPrefillSlowdown = 2;
 
-bool only_prefills(const gateway::Backend& backend) {
+bool is_prefill_only(const gateway::Backend& backend) {
   return backend.role == gateway::EngineRole::kPrefill;
 }
 
@@ -19,10 +19,11 @@
                                              const EnginePerformance& performance) {
   const double prompt_token = 1e-3 / performance.prompt_tokens_per_ms;
   engine_model::EngineParameters parameters;
-  // A step has no cost of its own where nothing is decoded: the model counts `step_base` for any.
+  // The model adds `step_base` to every step, but a step without decode has no fixed cost.
   parameters.cost = {
-      .step_base = only_prefills(backend) ? 0 : to_seconds(performance.output_token),
-      .prefill_token = only_prefills(backend) ? prompt_token : kBesideDecoding * prompt_token,
+      .step_base = is_prefill_only(backend) ? 0 : to_seconds(performance.output_token),
+      .prefill_token =
+          is_prefill_only(backend) ? prompt_token : kMixedPrefillSlowdown * prompt_token,
       .prefill_token_context = 0,
       .decode_sequence = 0,
       .context_token = 0};
@@ -41,15 +42,15 @@
       performance_(performance),
       speed_(speed),
       model_(EngineId(backend_.id.value()),
-             only_prefills(backend_) ? fleet::EngineRole::kPrefill : fleet::EngineRole::kMixed,
+             is_prefill_only(backend_) ? fleet::EngineRole::kPrefill : fleet::EngineRole::kMixed,
              parameters_of(backend_, performance)) {}
 
 MonotonicTime SimulatedEngine::to_local(MonotonicTime at) const {
-  return local_then_ + from_seconds(to_seconds(at - changed_at_) * speed_ / pace_);
+  return local_at_change_ + from_seconds(to_seconds(at - changed_at_) * speed_ / pace_);
 }
 
 MonotonicTime SimulatedEngine::from_local(MonotonicTime at) const {
-  return changed_at_ + from_seconds(to_seconds(at - local_then_) * pace_ / speed_);
+  return changed_at_ + from_seconds(to_seconds(at - local_at_change_) * pace_ / speed_);
 }
 
 void SimulatedEngine::collect(MonotonicTime now) {
@@ -62,7 +63,7 @@
 
 void SimulatedEngine::set_pace(double pace, MonotonicTime now) {
   collect(now);
-  local_then_ = to_local(now);
+  local_at_change_ = to_local(now);
   changed_at_ = now;
   pace_ = pace;
 }
--- a/src/gateway_load/tests/simulated_engine.h
+++ b/src/gateway_load/tests/simulated_engine.h
@@ -1,5 +1,5 @@
-// An engine of a load test: the engine model on a clock of its own, which runs at the engine's
-// speed and slower while the engine is slowed down.
+// An engine of a load test: the engine model on a local clock, whose rate follows the engine's
+// speed and drops while the engine is slowed down.
 #pragma once
 
 #include <cstdint>
@@ -14,33 +14,34 @@
 
 namespace ochrespring::gateway_load {
 
-/// Nominal performance of an engine; all times are those of undisturbed work at speed 1.
+/// Nominal performance of an engine at speed 1 without a slowdown.
 struct EnginePerformance {
   std::uint32_t slots = 6;
   Duration output_token{std::chrono::microseconds(650)};
-  double prompt_tokens_per_ms = 397;  ///< Half of it on an engine that also decodes.
+  double prompt_tokens_per_ms = 397;  ///< Half as many on an engine that also decodes.
   std::uint32_t chunk_tokens = 512;
   std::uint32_t tokens_per_event = 75;
 };
 
+/// Runs the engine model in virtual time; all times in the interface are global.
 class SimulatedEngine {
  public:
-  /// `speed`: how many times as fast as nominal.
+  /// `speed` is a factor on the nominal performance.
   SimulatedEngine(gateway::Backend backend, const EnginePerformance& performance, double speed);
 
-  /// From `now` on work takes `pace` times as long as usual.
+  /// Makes work take `pace` times as long as usual from `now` on.
   void set_pace(double pace, MonotonicTime now);
   void submit(engine_model::SequenceSpec spec, MonotonicTime now);
   void cancel(engine_model::SequenceId sequence, MonotonicTime now);
-  /// Sends a prefilled sequence's cache away; returns when it has arrived.
+  /// Exports the cache of a prefilled sequence; returns the time at which the transfer is complete.
   MonotonicTime export_cache(engine_model::SequenceId sequence, engine_model::Distance distance,
                              MonotonicTime now);
-  /// What has happened since the last call.
+  /// Advances to `now` and returns the events since the last call.
   std::vector<engine_model::SequenceEvent> advance(MonotonicTime now);
 
-  /// Load as the engine names it on an answer.
+  /// The load that the engine reports with a response.
   gateway::ReportedLoad report() const;
-  /// The true values, but for the long streams.
+  /// The exact profile, without the number of long streams.
   gateway::EngineProfile profile() const;
   const gateway::Backend& backend() const { return backend_; }
   double speed() const { return speed_; }
@@ -54,10 +55,10 @@
   EnginePerformance performance_;
   double speed_;
   double pace_ = 1;
-  MonotonicTime changed_at_{};  ///< When the rate of the local clock changed last...
-  MonotonicTime local_then_{};  ///< ...and what it showed.
+  MonotonicTime changed_at_{};       ///< Last change of the local clock's rate.
+  MonotonicTime local_at_change_{};  ///< Local time at that change.
   engine_model::EngineModel model_;
-  std::vector<engine_model::SequenceEvent> events_;  ///< Not taken yet; times are global.
+  std::vector<engine_model::SequenceEvent> events_;  ///< Not returned yet; global times.
 };
 
 }  // namespace ochrespring::gateway_load
--- a/src/gateway_load/tests/spare_capacity_test.cc
+++ b/src/gateway_load/tests/spare_capacity_test.cc
@@ -1,4 +1,5 @@
-// The engines have room for all calls; nodes or engines are disturbed.
+// The engines have capacity for all calls while nodes or engines are slowed down, fail or are cut
+// off.
 #include <doctest/doctest.h>
 
 #include <chrono>
@@ -9,7 +10,7 @@
 using namespace ochrespring::gateway_load;
 using namespace std::chrono_literals;
 
-// Guards against calls that are late, or turned away, while engines have room for them.
+// Guards against calls that are late or rejected although the engines have capacity.
 TEST_CASE("at half of the capacity calls of both classes are on time") {
   for (const std::uint64_t seed : kSeeds) {
     CAPTURE(seed);
@@ -20,8 +21,8 @@
   }
 }
 
-// Guards against a slowdown that makes calls late although no gap of an engine of nominal speed,
-// 49 ms, exceeds the target by it: 122 ms.
+// Guards against late calls during a slowdown that every engine can absorb: the gap between events
+// at nominal speed grows from 49 to 122 ms, below the target of 150 ms.
 TEST_CASE("an engine 2.5 times slower for 0.6 s makes no call late") {
   for (const std::uint64_t seed : kSeeds) {
     CAPTURE(seed);
@@ -34,12 +35,12 @@
   }
 }
 
-// Guards against decisions that need the other nodes' reports: engines name their load themselves.
-TEST_CASE("nodes that hear nothing of each other serve what the engines can serve") {
+// Guards against placement that depends on reports of other nodes: engines report their own load.
+TEST_CASE("calls are on time when nodes receive no reports of each other") {
   for (const std::uint64_t seed : kSeeds) {
     CAPTURE(seed);
     FleetOptions options = service_a(equal_engines(4), 0.3, seed);
-    options.news_delay = 1h;
+    options.report_delay = 1h;
     LoadFleet fleet(options);
     fleet.run(kWarmUp, kMeasured);
     check_on_time(fleet, "reviews");
@@ -47,25 +48,26 @@
   }
 }
 
-// Guards against calls sent to an engine that has gone, and against work that stays counted for it.
-// What it works on is lost: there are no repeats here.
-TEST_CASE("when one of six engines ends, calls that come later are on time at the others") {
+// Guards against calls sent to a terminated engine and against its work staying counted. Its calls
+// in flight are lost because the fixture has no retries of sent calls.
+TEST_CASE("after one of six engines terminates, later calls are on time at the others") {
   for (const std::uint64_t seed : kSeeds) {
     CAPTURE(seed);
     LoadFleet fleet(service_a(equal_engines(6), 0.3, seed));
-    fleet.at(kWarmUp - 1ms, [&] { fleet.end_engine(2); });
+    fleet.at(kWarmUp - 1ms, [&] { fleet.terminate_engine(2); });
     fleet.run(kWarmUp, kMeasured);
     check_on_time(fleet, "reviews");
     check_on_time(fleet, "chats");
   }
 }
 
-// Guards against nodes that count the work of one that has ended, or do not take over its callers.
-TEST_CASE("when one of six nodes ends, the others serve its callers on time") {
+// Guards against nodes that keep counting the work of a terminated node or do not serve its
+// callers.
+TEST_CASE("after one of six nodes terminates, the others serve its callers on time") {
   for (const std::uint64_t seed : kSeeds) {
     CAPTURE(seed);
     LoadFleet fleet(service_a(equal_engines(6), 0.3, seed));
-    fleet.at(kWarmUp - 1ms, [&] { fleet.end_node(3); });
+    fleet.at(kWarmUp - 1ms, [&] { fleet.terminate_node(3); });
     fleet.run(kWarmUp, kMeasured);
     check_on_time(fleet, "reviews");
     check_on_time(fleet, "chats");
--- a/src/gateway_load/tests/two_classes_test.cc
+++ b/src/gateway_load/tests/two_classes_test.cc
@@ -6,7 +6,7 @@
 using namespace ochrespring;
 using namespace ochrespring::gateway_load;
 
-// Guards against calls that are late, or turned away, while engines have room for them.
+// Guards against calls that are late or rejected although the engines have capacity.
 TEST_CASE("at 0.8 of the capacity calls of both classes are on time") {
   for (const std::uint64_t seed : kSeeds) {
     CAPTURE(seed);
@@ -17,9 +17,9 @@
   }
 }
 
-// Guards against queues in which each call waits until it is late, against a class that another
-// one crowds out, and against callers that hear nothing until their deadline.
-TEST_CASE("above the capacity each class gets a share on time, and nobody is told too late") {
+// Guards against queues in which every call waits until it is late, against one class starving
+// another, and against calls without a response until their deadline.
+TEST_CASE("above the capacity each class gets a share of calls on time and no call is cut off") {
   for (const double load : {1.2, 2.0, 4.0}) {
     for (const std::uint64_t seed : kSeeds) {
       CAPTURE(load);
--- a/src/gateway_load/tests/uneven_demand_test.cc
+++ b/src/gateway_load/tests/uneven_demand_test.cc
@@ -1,4 +1,4 @@
-// Demand that differs between zones, grows for a while, or is given up by its callers.
+// Demand that differs between zones, grows temporarily, or comes from callers that disconnect.
 #include <doctest/doctest.h>
 
 #include <chrono>
@@ -9,11 +9,11 @@
 using namespace ochrespring::gateway_load;
 using namespace std::chrono_literals;
 
-// Guards against calls that stay with the engines of a zone that has too few for its demand.
+// Guards against calls that stay in their zone although its engines cannot serve the demand.
 TEST_CASE("a zone with twice the demand of the others is served by all engines") {
   for (const std::uint64_t seed : kSeeds) {
     CAPTURE(seed);
-    // In all 0.3 x 4 / 3 of the capacity.
+    // Total demand is 0.3 x 4 / 3 of the capacity.
     LoadFleet fleet(service_a(equal_engines(6), 0.3, seed));
     fleet.set_demand("reviews", 2, "z1");
     fleet.set_demand("chats", 2, "z1");
@@ -23,9 +23,9 @@
   }
 }
 
-// Guards against a class that is late because another one has grown. The grown class may be late,
-// but is not left without an answer.
-TEST_CASE("reviews that grow fivefold for 3 s do not make chats late") {
+// Guards against one class making another late when its demand grows. The growing class may be
+// late, but none of its calls is cut off.
+TEST_CASE("a fivefold demand of reviews for 3 s does not make chats late") {
   for (const std::uint64_t seed : kSeeds) {
     CAPTURE(seed);
     LoadFleet fleet(service_a(equal_engines(4), 0.3, seed));
@@ -37,14 +37,14 @@
   }
 }
 
-// Guards against engines that work on for callers that have left. Each review takes no more than
-// its 5 ms and the chunk begun then, 3 ms, in place of 19 ms: in all half of the capacity, chats
-// included.
-TEST_CASE("reviews whose callers leave at once take nothing from chats") {
+// Guards against engines that keep working after the caller has disconnected. Each review then
+// takes at most 5 ms plus the chunk in progress, 3 ms, instead of 19 ms: the total,
+// chats included, is half of the capacity.
+TEST_CASE("reviews whose callers disconnect after 5 ms do not make chats late") {
   for (const std::uint64_t seed : kSeeds) {
     CAPTURE(seed);
     LoadFleet fleet(service_a(equal_engines(4), 0.3, seed));
-    fleet.set_patience("reviews", 5ms);
+    fleet.set_disconnect_after("reviews", 5ms);
     fleet.set_demand("reviews", 4);
     fleet.run(kWarmUp, kMeasured);
     check_on_time(fleet, "chats");
--- a/src/gateway_load/tests/uneven_engines_test.cc
+++ b/src/gateway_load/tests/uneven_engines_test.cc
@@ -1,4 +1,4 @@
-// Engines that are slower than others, always or for a while.
+// Engines that are slower than others, permanently or temporarily.
 #include <doctest/doctest.h>
 
 #include <chrono>
@@ -13,7 +13,7 @@
 
 constexpr double kSlowdown = 2.5;
 constexpr Duration kSlowSpan = 600ms;
-/// One engine is slowed down after the other: each 15% of the time.
+/// The engines are slowed down in turn, each 15% of the time.
 constexpr Duration kSlowCycle = 4s;
 constexpr double kFast = 1.2;
 constexpr double kSlow = 0.55;
@@ -30,10 +30,9 @@
 
 }  // namespace
 
-// An event of a chat takes 221 ms on a slow engine that is slowed down, over the target gap of
-// 150 ms, and 102 ms on any other. Guards against chats placed on the slow engine while the others
-// have room.
-TEST_CASE("with one slow engine of four chats are on time") {
+// Guards against chats placed on the slow engine while the others have capacity. An event of a chat
+// takes 221 ms there during a slowdown, above the target gap of 150 ms, and 102 ms on any other.
+TEST_CASE("with one slow engine of four calls of both classes are on time") {
   for (const std::uint64_t seed : kSeeds) {
     CAPTURE(seed);
     std::vector<EngineOptions> engines = equal_engines(4, kFast);
--- a/src/gateway_load/tests/workload.h
+++ b/src/gateway_load/tests/workload.h
@@ -1,4 +1,5 @@
-// The classes and engines of service A of docs/design/load-decisions.md, and what callers are due.
+// The request classes and engines of service A of docs/design/load-decisions.md, and the checks of
+// its service level.
 #pragma once
 
 #include <doctest/doctest.h>
@@ -12,10 +13,10 @@
 
 namespace ochrespring::gateway_load {
 
-/// On-time share of a class whose demand the engines can serve. All calls are due; one in twenty is
-/// allowed for bursts of Poisson arrivals at a few engines.
+/// Minimum on-time share of a class whose demand the engines can serve. One call in twenty may be
+/// late because Poisson arrivals burst at a small number of engines.
 inline constexpr double kNearlyAll = 0.95;
-/// Part of its even share of the capacity below which a class that waits counts as starved.
+/// A class is starved if it gets less than this part of its even share of the capacity.
 inline constexpr double kNotStarved = 0.5;
 
 inline constexpr std::uint64_t kSeeds[] = {1, 2, 3};
@@ -26,8 +27,8 @@
           .prompt_tokens = 9'190,
           .shared_tokens = 6'300,
           .mean_events = 1.5,
-          .least_events = 1,
-          .most_events = 6,
+          .min_events = 1,
+          .max_events = 6,
           .first_event = std::chrono::milliseconds(200),
           .gap = std::chrono::milliseconds(400),
           .deadline = std::chrono::seconds(2),
@@ -39,14 +40,14 @@
           .per_second = 0.23,
           .prompt_tokens = 220,
           .mean_events = 72,
-          .least_events = 24,
-          .most_events = 171,
+          .min_events = 24,
+          .max_events = 171,
           .first_event = std::chrono::milliseconds(120),
           .gap = std::chrono::milliseconds(150),
           .deadline = std::chrono::seconds(15)};
 }
 
-/// Both classes at `load` times what the engines can serve, at six nodes in three zones.
+/// Both classes at `load` times the capacity of the engines, with six nodes in three zones.
 inline FleetOptions service_a(std::vector<EngineOptions> engines, double load, std::uint64_t seed) {
   FleetOptions options{.classes = {reviews(), chats()},
                        .engines = std::move(engines),
@@ -59,10 +60,10 @@
   return options;
 }
 
-/// As service_a, but half of the reviews come from callers that come back after 20 ms whatever they
-/// are told: the class `hasty`. The other rejected callers come back when they are told to.
-inline FleetOptions service_a_with_haste(std::vector<EngineOptions> engines, double load,
-                                         std::uint64_t seed) {
+/// As service_a, but half of the reviews form the class `hasty`, whose rejected callers retry after
+/// 20 ms and ignore the retry time of the rejection. The other callers honor it.
+inline FleetOptions service_a_with_hasty_callers(std::vector<EngineOptions> engines, double load,
+                                                 std::uint64_t seed) {
   FleetOptions options = service_a(std::move(engines), load, seed);
   options.classes[0].per_second /= 2;
   RequestClass hasty = options.classes[0];
@@ -71,21 +72,21 @@
   return options;
 }
 
-inline void set_haste(LoadFleet& fleet) {
+inline void set_retry_behavior(LoadFleet& fleet) {
   fleet.set_retries("hasty", std::chrono::milliseconds(20));
   fleet.set_retries("reviews", std::nullopt);
 }
 
-/// Excess of calls on time that may be due to chance.
-inline constexpr double kByChance = 1.1;
+/// Ratio of on-time calls that random variation may explain.
+inline constexpr double kChanceTolerance = 1.1;
 
-/// Whether as many callers that come back when they are told to are served on time as of those that
-/// come back at once; demand of both is the same.
-inline bool haste_gains_nothing(const LoadFleet& fleet) {
-  return fleet.of("hasty").on_time <= kByChance * fleet.of("reviews").on_time;
+/// Whether callers that ignore the retry time get no more calls on time than callers that honor it;
+/// both have the same demand.
+inline bool hasty_callers_gain_nothing(const LoadFleet& fleet) {
+  return fleet.of("hasty").on_time <= kChanceTolerance * fleet.of("reviews").on_time;
 }
 
-/// So many engines that prefill and decode, alike, in three zones.
+/// `count` equal engines that prefill and decode, spread over three zones.
 inline std::vector<EngineOptions> equal_engines(int count, double speed = 1) {
   std::vector<EngineOptions> engines;
   for (int i = 0; i != count; ++i) {
@@ -94,7 +95,7 @@
   return engines;
 }
 
-/// The engines can serve all calls of the class: all are on time, none is turned away.
+/// Checks a class whose demand the engines can serve: calls are on time and none is rejected.
 inline void check_on_time(const LoadFleet& fleet, const std::string& name) {
   CAPTURE(name);
   CHECK(fleet.of(name).ended() == fleet.of(name).offered);
@@ -103,8 +104,8 @@
   CHECK(fleet.of(name).cut_off == 0);
 }
 
-/// Demand is `load` times the capacity: the class is not starved, and no caller waits in vain until
-/// its deadline.
+/// Checks a class when demand is `load` times the capacity: it is not starved, and no call is cut
+/// off at its deadline.
 inline void check_fair_share(const LoadFleet& fleet, const std::string& name, double load) {
   CAPTURE(name);
   CHECK(fleet.of(name).ended() == fleet.of(name).offered);
