--- a/src/gateway_load/tests/uneven_demand_test.cc
+++ b/src/gateway_load/tests/uneven_demand_test.cc
@@ -38,8 +38,8 @@
 }
 
 // Guards against engines that keep working after the caller has disconnected. Each review then
-// takes at most 5 ms plus the chunk in progress, 3 ms, instead of 19 ms: the total,
-// chats included, is half of the capacity.
+// takes at most 5 ms plus the chunk in progress, 3 ms, instead of 19 ms: the
+// total, chats included, is half of the capacity.
 TEST_CASE("reviews whose callers disconnect after 5 ms do not make chats late") {
   for (const std::uint64_t seed : kSeeds) {
     CAPTURE(seed);
