--- a/src/fuzzing/targets/node_datagrams.cc
+++ b/src/fuzzing/targets/node_datagrams.cc
@@ -8,7 +8,7 @@
 #include "admission/admission_control.h"
 #include "engine_profiles/profile_exchange.h"
 #include "fuzzing/fuzz_target.h"
-#include "gateway_node/peer_news.h"
+#include "gateway_node/peer_exchange.h"
 #include "platform/fleet_codec.h"
 #include "rate_limit/rate_limiter.h"
 #include "simulation/virtual_time.h"
@@ -48,29 +48,29 @@
   discovery::NodeDirectory nodes{
       time, {NodeId("self"), Endpoint("10.0.0.2:80"), ZoneName("a"), Endpoint("10.0.0.2:81")}};
   discovery::FleetWatcher watcher{{time, time, random, store, codec, logger}, {}, fleet, nodes};
-  gateway_node::PeerNews news{{time, time, random, fleet, loads, nodes, watcher},
-                              {.peer_address = Endpoint("10.0.0.2:81"),
-                               .view_address = Endpoint("10.0.0.2:82"),
-                               .relays = {.min_nodes = 48},
-                               .relay_gather = std::chrono::milliseconds(10)},
-                              [](const Endpoint&, std::string_view) {},
-                              [](const Endpoint&) {}};
+  gateway_node::PeerExchange news{{time, time, random, fleet, loads, nodes, watcher},
+                                  {.peer_address = Endpoint("10.0.0.2:81"),
+                                   .view_address = Endpoint("10.0.0.2:82"),
+                                   .relays = {.min_nodes = 48},
+                                   .relay_batch_window = std::chrono::milliseconds(10)},
+                                  [](const Endpoint&, std::string_view) {},
+                                  [](const Endpoint&) {}};
   rate_limit::RateLimiter limiter{
       {time, time, random, logger, fleet, nodes},
-      {.broadcast = [this](const auto& told) { news.tell_limits(told); },
+      {.broadcast = [this](const auto& told) { news.broadcast_limits(told); },
        .send = [this](const Endpoint& to, const auto& told) { news.send(to, told); },
        .send_request = [this](const Endpoint& to, const auto& told) { news.send(to, told); },
        .send_reply = [this](const Endpoint& to, const auto& told) { news.send(to, told); }}};
 
   admission::AdmissionControl admission{
       {time, random, logger, fleet, loads, limiter},
-      [this](const admission::BackendNotice& notice) { news.tell_notice(notice); }};
+      [this](const admission::BackendNotice& notice) { news.broadcast_notice(notice); }};
   engine_profiles::EngineProfileTable profiles{fleet, logger};
   engine_profiles::ProfileExchange exchange{
       {time, time, random, profiles},
       NodeId("self"),
-      {.broadcast = [this](const auto& told) { news.tell_profiles(told); },
-       .send_to_zone = [this](const auto& told) { news.tell_zone_profiles(told); }}};
+      {.broadcast = [this](const auto& told) { news.broadcast_profiles(told); },
+       .send_to_zone = [this](const auto& told) { news.broadcast_profiles_to_zone(told); }}};
 
   Node() {
     nodes.put({NodeId("other"), Endpoint("10.0.0.3:80"), ZoneName("a"), Endpoint("10.0.0.3:81")});
@@ -81,17 +81,17 @@
     engine.id = gateway::BackendId("i-7f3a91c2@1787834510949");
     engine.role = gateway::EngineRole::kDecode;
     fleet.put(engine);
-    news.on_limits({.take = [this](const auto& told) { limiter.receive(told); },
-                    .take_request = [this](const auto& told) { limiter.receive(told); },
-                    .take_reply = [this](const auto& told) { limiter.receive(told); },
-                    .tell_all = [this](const auto& send) { limiter.send_all(send); }});
-    news.on_notices({.take = [this](const auto& told) { admission.receive(told); },
-                     .tell_all = [this](const auto& send) { admission.send_all(send); }});
+    news.on_limits({.receive = [this](const auto& told) { limiter.receive(told); },
+                    .receive_request = [this](const auto& told) { limiter.receive(told); },
+                    .receive_reply = [this](const auto& told) { limiter.receive(told); },
+                    .send_all = [this](const auto& send) { limiter.send_all(send); }});
+    news.on_notices({.receive = [this](const auto& told) { admission.receive(told); },
+                     .send_all = [this](const auto& send) { admission.send_all(send); }});
     news.on_profiles(
-        {.take = [this](const auto& told) { exchange.receive(told); },
-         .take_to_relay = [this](const auto& told) { exchange.receive_for_relay(told); },
-         .take_relayed = [this](const auto& told) { exchange.receive(told); },
-         .tell_all = [this](const auto& send) { exchange.send_all(send); }});
+        {.receive = [this](const auto& told) { exchange.receive(told); },
+         .receive_for_relay = [this](const auto& told) { exchange.receive_for_relay(told); },
+         .receive_relayed = [this](const auto& told) { exchange.receive(told); },
+         .send_all = [this](const auto& send) { exchange.send_all(send); }});
     exchange.start();
   }
   /// A request that waits for leave to go to the server while datagrams come.
--- a/src/gateway_node/gateway_node.cc
+++ b/src/gateway_node/gateway_node.cc
@@ -68,26 +68,29 @@
               .seeds = settings_.seeds,
               .link_mbps = settings_.link_mbps},
              [this](auto after) { return watcher_.make_transfer(after); }),
-      peer_news_(
+      peer_exchange_(
           {clock, loop, random, fleet_, loads_, nodes_, watcher_},
           {.peer_address = settings_.peer_listen,
            .view_address = settings_.view_listen,
            .relays = {.min_nodes = settings_.relay_from_nodes},
-           .relay_gather = settings_.relay_gather},
+           .relay_batch_window = settings_.relay_batch_window},
           [this](const Endpoint& to, std::string_view bytes) { peer_socket_->send(to, bytes); },
           [this](const Endpoint& view_address) { views_.note_source(view_address); }),
-      duties_(
-          {clock, loop, random, adapter_.store, logger, fleet_, adapter_.usage_sink,
-           adapter_.server_provider},
-          {.key_prefix = adapter_.codec.layout().duty_prefix,
-           .node = settings_.node,
-           .lease = settings_.node_lease,
-           .usage_windows = {settings_.usage_window},
-           .usage_due = settings_.usage_due,
-           .server_plan = settings_.server_plan},
-          {.fitness = {.to_claim = [this] { return peer_news_.channel().first_of_relays(); },
-                       .to_hold = [this] { return peer_news_.channel().told_usage(); }},
-           .tell = [this](const usage::UsageReport& report) { peer_news_.tell_usage(report); }}),
+      duties_({clock, loop, random, adapter_.store, logger, fleet_, adapter_.usage_sink,
+               adapter_.server_provider},
+              {.key_prefix = adapter_.codec.layout().duty_prefix,
+               .node = settings_.node,
+               .lease = settings_.node_lease,
+               .usage_windows = {settings_.usage_window},
+               .usage_due = settings_.usage_due,
+               .server_plan = settings_.server_plan},
+              {.eligibility = {
+                   .to_claim = [this] { return peer_exchange_.channel().is_first_relay(); },
+                   .to_hold = [this] { return peer_exchange_.channel().receives_all_usage(); }},
+               .send_usage =
+                   [this](const usage::UsageReport& report) {
+                     peer_exchange_.broadcast_usage(report);
+                   }}),
       quarantine_(
           {clock, loop, random, adapter_.store, logger, fleet_},
           {.key_prefix = adapter_.codec.layout().quarantine_prefix, .node = settings_.node},
@@ -95,27 +98,30 @@
                [this](const Endpoint& address, std::function<void(http::ProbeResult)> done) {
                  client_.probe(address, kProbeTimeout, std::move(done));
                },
-           .broadcast = [this](const auto& news) { peer_news_.tell_crashes(news); },
-           .broadcast_to_zone = [this](const auto& news) { peer_news_.tell_zone_crashes(news); },
-           .request_horizon = [this] { peer_news_.ask_for_horizon(); },
+           .broadcast = [this](const auto& news) { peer_exchange_.broadcast_crashes(news); },
+           .broadcast_to_zone =
+               [this](const auto& news) { peer_exchange_.broadcast_crashes_to_zone(news); },
+           .request_horizon = [this] { peer_exchange_.request_horizon(); },
            .node_count = [this] { return nodes_.count(); }}),
       rate_limiter_(
           {clock, loop, random, logger, fleet_, nodes_},
-          {.broadcast = [this](const auto& news) { peer_news_.tell_limits(news); },
-           .send = [this](const Endpoint& to, const auto& news) { peer_news_.send(to, news); },
+          {.broadcast = [this](const auto& news) { peer_exchange_.broadcast_limits(news); },
+           .send = [this](const Endpoint& to, const auto& news) { peer_exchange_.send(to, news); },
            .send_request = [this](const Endpoint& to,
-                                  const auto& ask) { peer_news_.send(to, ask); },
+                                  const auto& ask) { peer_exchange_.send(to, ask); },
            .send_reply = [this](const Endpoint& to,
-                                const auto& told) { peer_news_.send(to, told); }}),
+                                const auto& told) { peer_exchange_.send(to, told); }}),
       admission_({clock, random, logger, fleet_, loads_, rate_limiter_},
-                 [this](const auto& notice) { peer_news_.tell_notice(notice); }),
+                 [this](const auto& notice) { peer_exchange_.broadcast_notice(notice); }),
       queue_({clock, loop, random, logger, [this] { return nodes_.conservative_count(); }},
              settings_.queue),
       profile_exchange_(
           {clock, loop, random, profiles_}, settings_.node,
-          {.broadcast = [this](const auto& news) { peer_news_.tell_profiles(news); },
+          {.broadcast = [this](const auto& news) { peer_exchange_.broadcast_profiles(news); },
            .send_to_zone =
-               [this](const auto& relayed) { peer_news_.tell_zone_profiles(relayed); }}),
+               [this](const auto& relayed) {
+                 peer_exchange_.broadcast_profiles_to_zone(relayed);
+               }}),
       survey_(clock, adapter_.engines, fleet_, loads_,
               [this](const gateway::BackendId& engine, http::ClientRequest request,
                      std::function<void(std::string)> done) {
@@ -170,17 +176,17 @@
   }
   BOOST_OUTCOME_TRY(listen_to_peers());
   BOOST_OUTCOME_TRY(views_.listen());
-  watcher_.on_store_state([this](bool reachable) { peer_news_.on_store_state(reachable); });
+  watcher_.on_store_state([this](bool reachable) { peer_exchange_.on_store_state(reachable); });
   watcher_.on_view_needed(
       [this](auto done) { views_.fetch(known_view_addresses(), std::move(done)); });
   watcher_.on_fetch_needed(
       [this](const auto& request, auto done) { views_.fetch_from(request, std::move(done)); });
-  watcher_.on_reading_assignment([this] { return peer_news_.channel().reading_duty(); });
+  watcher_.on_reading_assignment([this] { return peer_exchange_.channel().reading_assignment(); });
   fleet_.on_added(
       [this](const gateway::Backend& backend) { admission_.note_backend_added(backend.id); });
   fleet_.on_removed([this](const gateway::Backend& backend) {
     loads_.forget(backend.id);
-    peer_news_.forget(backend.id);
+    peer_exchange_.forget(backend.id);
     profile_exchange_.forget(backend.id);
     client_.forget(backend.address);
     quarantine_.note_backend_removed(backend);
@@ -195,7 +201,8 @@
   });
   watcher_.on_new_era([this] { write_again(); });
   gateway_.on_idle([this] { stop_.on_idle(); });
-  peer_news_.on_usage([this](const usage::UsageReport& report) { duties_.take_usage(report); });
+  peer_exchange_.on_usage(
+      [this](const usage::UsageReport& report) { duties_.receive_usage(report); });
   connect_quarantine();
   connect_admission();
   connect_profiles();
@@ -222,7 +229,7 @@
 /// The store has come back from an older copy, without what was written there since.
 void GatewayNode::write_again() {
   registration_.reregister();
-  duties_.on_store_set_back();
+  duties_.on_store_rolled_back();
   quarantine_.on_store_rolled_back();
 }
 
@@ -232,39 +239,39 @@
   watcher_.on_other_key([this](const std::string& key, const std::optional<std::string>& value) {
     quarantine_.apply_store_change(key, value);
   });
-  peer_news_.on_crashes(
-      {.take = [this](const auto& news) { quarantine_.receive(news); },
-       .take_to_relay = [this](const auto& news) { quarantine_.receive_for_relay(news); },
-       .tell_all = [this](const auto& send) { quarantine_.send_all(send); },
-       .take_horizon = [this](const auto& told) { quarantine_.receive(told); },
+  peer_exchange_.on_crashes(
+      {.receive = [this](const auto& news) { quarantine_.receive(news); },
+       .receive_for_relay = [this](const auto& news) { quarantine_.receive_for_relay(news); },
+       .send_all = [this](const auto& send) { quarantine_.send_all(send); },
+       .receive_horizon = [this](const auto& told) { quarantine_.receive(told); },
        .horizon = [this] { return quarantine_.horizon(); }});
   watcher_.on_first_listing([this] { quarantine_.on_first_listing(); });
   quarantine_.start();
 }
 
 void GatewayNode::connect_admission() {
-  peer_news_.on_limits(
-      {.take = [this](const auto& news) { rate_limiter_.receive(news); },
-       .take_request = [this](const auto& request) { rate_limiter_.receive(request); },
-       .take_reply = [this](const auto& reply) { rate_limiter_.receive(reply); },
-       .tell_all = [this](const auto& send) { rate_limiter_.send_all(send); }});
-  peer_news_.on_notices({.take = [this](const auto& notice) { admission_.receive(notice); },
-                         .tell_all = [this](const auto& send) { admission_.send_all(send); }});
+  peer_exchange_.on_limits(
+      {.receive = [this](const auto& news) { rate_limiter_.receive(news); },
+       .receive_request = [this](const auto& request) { rate_limiter_.receive(request); },
+       .receive_reply = [this](const auto& reply) { rate_limiter_.receive(reply); },
+       .send_all = [this](const auto& send) { rate_limiter_.send_all(send); }});
+  peer_exchange_.on_notices({.receive = [this](const auto& notice) { admission_.receive(notice); },
+                             .send_all = [this](const auto& send) { admission_.send_all(send); }});
 }
 
 void GatewayNode::connect_profiles() {
-  peer_news_.on_profiles(
-      {.take = [this](const auto& news) { profile_exchange_.receive(news); },
-       .take_to_relay = [this](const auto& news) { profile_exchange_.receive_for_relay(news); },
-       .take_relayed = [this](const auto& relayed) { profile_exchange_.receive(relayed); },
-       .tell_all = [this](const auto& send) { profile_exchange_.send_all(send); }});
+  peer_exchange_.on_profiles(
+      {.receive = [this](const auto& news) { profile_exchange_.receive(news); },
+       .receive_for_relay = [this](const auto& news) { profile_exchange_.receive_for_relay(news); },
+       .receive_relayed = [this](const auto& relayed) { profile_exchange_.receive(relayed); },
+       .send_all = [this](const auto& send) { profile_exchange_.send_all(send); }});
   profile_exchange_.start();
 }
 
 Result<void, http::HttpError> GatewayNode::listen_to_peers() {
   BOOST_OUTCOME_TRY(socket, peer_load::DatagramSocket::bind(
                                 loop_, settings_.peer_listen, [this](std::string_view bytes) {
-                                  peer_news_.receive(bytes, loop_.held_up());
+                                  peer_exchange_.receive(bytes, loop_.held_up());
                                 }));
   peer_socket_ = std::move(socket);
   return outcome::success();
@@ -280,7 +287,7 @@
   }
   survey_.begin(settings_.node, nodes);
   if (!std::exchange(asked_peers_, true)) {
-    peer_news_.ask_for_parts();
+    peer_exchange_.request_cached_parts();
   }
 }
 
@@ -308,7 +315,7 @@
   duties_.leave();
   nodes_.leave();
   // The answer to a write of its own may have been lost: what others tell may be newer.
-  peer_news_.tell_leaving(
+  peer_exchange_.announce_leaving(
       [this] { return std::max(registration_.registered(), nodes_.own_registration_revision()); });
   registration_.leave();
   callers_.announce_close();
@@ -369,7 +376,7 @@
 void GatewayNode::add_metrics(metrics::SampleSink& sink) const {
   add_gateway_metrics(statistics_, sink);
   add_watcher_metrics(watcher_, sink);
-  peer_news_.add_metrics(sink);
+  peer_exchange_.add_metrics(sink);
   duties_.add_metrics(sink);
   quarantine_.add_metrics(sink);
   rate_limiter_.add_metrics(sink);
--- a/src/gateway_node/gateway_node.h
+++ b/src/gateway_node/gateway_node.h
@@ -17,7 +17,7 @@
 #include "gateway/gateway.h"
 #include "gateway_node/adapter.h"
 #include "gateway_node/node_duties.h"
-#include "gateway_node/peer_news.h"
+#include "gateway_node/peer_exchange.h"
 #include "gateway_node/settings.h"
 #include "gateway_node/stop_sequence.h"
 #include "gateway_node/view_exchange.h"
@@ -86,7 +86,7 @@
   discovery::FleetWatcher watcher_;
   discovery::NodeRegistration registration_;
   ViewExchange views_;
-  PeerNews peer_news_;
+  PeerExchange peer_exchange_;
   std::unique_ptr<peer_load::DatagramSocket> peer_socket_;
   NodeDuties duties_;
   quarantine::Quarantine quarantine_;
--- a/src/gateway_node/node_duties.cc
+++ b/src/gateway_node/node_duties.cc
@@ -14,8 +14,8 @@
 
 }  // namespace
 
-NodeDuties::NodeDuties(World world, const NodeDutiesOptions& options, const Peers& peers)
-    : world_(world),
+NodeDuties::NodeDuties(Dependencies world, const NodeDutiesOptions& options, const Peers& peers)
+    : deps_(world),
       started_(world.clock.now()),
       lease_({world.clock, world.timers, world.random, world.store, world.logger},
              {.holder_key = options.key_prefix + "holder",
@@ -24,8 +24,8 @@
               .node = options.node,
               .life = world.random.next(),
               .time_to_live = options.lease},
-             {.to_claim = [this, first = peers.fitness.to_claim] { return may_claim(first); },
-              .to_hold = peers.fitness.to_hold}) {
+             {.to_claim = [this, first = peers.eligibility.to_claim] { return may_claim(first); },
+              .to_hold = peers.eligibility.to_hold}) {
   if (world.usage_sink != nullptr) {
     wall_.emplace(world.clock, world.timers);
     meter_.emplace(*wall_, world.timers,
@@ -33,9 +33,9 @@
                                             .life = world.random.next(),
                                             .windows = options.usage_windows,
                                             .retention = options.usage_due},
-                   [this, tell = peers.tell](const usage::UsageReport& report) {
+                   [this, send_usage = peers.send_usage](const usage::UsageReport& report) {
                      tally_.take(report);
-                     tell(report);
+                     send_usage(report);
                    });
     reporter_.emplace(usage::UsageReporter::World{world.timers, world.store, world.logger, *wall_,
                                                   lease_, tally_, *world.usage_sink},
@@ -75,8 +75,8 @@
 }
 
 bool NodeDuties::may_claim(const std::function<bool()>& first_choice) const {
-  const MonotonicTime now = world_.clock.now();
-  const auto current_at = world_.fleet.current_at();
+  const MonotonicTime now = deps_.clock.now();
+  const auto current_at = deps_.fleet.current_at();
   const bool knows_fleet =
       current_at && *current_at - started_ >= kLearnsFleet && now - *current_at < kOldestView;
   return knows_fleet && first_choice();
@@ -88,18 +88,18 @@
   }
 }
 
-void NodeDuties::tell_usage() {
+void NodeDuties::flush_usage() {
   if (meter_) {
     meter_->flush();
   }
 }
 
 void NodeDuties::leave() {
-  tell_usage();
+  flush_usage();
   lease_.stop();
 }
 
-void NodeDuties::on_store_set_back() {
+void NodeDuties::on_store_rolled_back() {
   lease_.on_store_set_back();
   if (reporter_) {
     reporter_->on_store_set_back();
--- a/src/gateway_node/node_duties.h
+++ b/src/gateway_node/node_duties.h
@@ -33,7 +33,7 @@
 class NodeDuties {
  public:
   /// References outlive it.
-  struct World {
+  struct Dependencies {
     const Clock& clock;
     TimerService& timers;
     RandomSource& random;
@@ -44,30 +44,30 @@
     fleet_control::ServerProvider* server_provider;  ///< Null: no servers are ordered.
   };
   struct Peers {
-    duties::DutyLease::Fitness fitness;  ///< By what this node knows of the others.
-    usage::UsageMeter::Send tell;        ///< Tells this node's usage to those that may report it.
+    duties::DutyLease::Fitness eligibility;  ///< By what this node knows of the others.
+    usage::UsageMeter::Send send_usage;  ///< Tells this node's usage to those that may report it.
   };
 
-  NodeDuties(World world, const NodeDutiesOptions& options, const Peers& peers);
+  NodeDuties(Dependencies deps, const NodeDutiesOptions& options, const Peers& peers);
 
   void start();
   /// A request of this node has begun to run.
   void note_run(const TenantName& tenant, Duration ago);
   /// Another node's usage.
-  void take_usage(const usage::UsageReport& report) { tally_.take(report); }
+  void receive_usage(const usage::UsageReport& report) { tally_.take(report); }
   /// This node takes no more requests.
   void leave();
   /// The store has come back from an older copy.
-  void on_store_set_back();
+  void on_store_rolled_back();
   /// The process is about to end.
-  void finish() { tell_usage(); }
+  void finish() { flush_usage(); }
   void add_metrics(metrics::SampleSink& sink) const;
 
  private:
   bool may_claim(const std::function<bool()>& first_choice) const;
-  void tell_usage();
+  void flush_usage();
 
-  World world_;
+  Dependencies deps_;
   MonotonicTime started_;
   std::optional<usage::WallClockEstimate> wall_;  ///< With the meter: it samples all the time.
   usage::UsageTally tally_;
--- a/src/gateway_node/peer_channel.cc
+++ b/src/gateway_node/peer_channel.cc
@@ -36,7 +36,7 @@
   // young would refuse what a newer configuration allows.
   if (auto* update = std::get_if<discovery::ViewUpdate>(&message.value())) {
     update->age += waited;
-  } else if (auto* relayed = std::get_if<UpdateToRelay>(&message.value())) {
+  } else if (auto* relayed = std::get_if<ViewUpdateToRelay>(&message.value())) {
     relayed->message.age += waited;
   }
   const bool leaving = std::holds_alternative<NodeLeaving>(message.value()) ||
@@ -47,12 +47,12 @@
   std::visit([this](const auto& told) { take(told); }, message.value());
 }
 
-void PeerChannel::take(const ReportToRelay& told) {
+void PeerChannel::take(const WorkReportToRelay& told) {
   handlers_.work(told.message);
   handlers_.work_to_relay(told.message);
 }
 
-void PeerChannel::take(const UpdateToRelay& told) {
+void PeerChannel::take(const ViewUpdateToRelay& told) {
   // The nodes of the zone that cannot join the update fetch the view here: it has to be as new.
   handlers_.update(told.message, [this, update = told.message]() mutable {
     update.view_address = view_address_;
@@ -60,15 +60,15 @@
   });
 }
 
-void PeerChannel::tell_work(const peer_load::WorkReport& report) {
+void PeerChannel::broadcast_work(const peer_load::WorkReport& report) {
   if (!relays_.in_use()) {
     send_to_others(report);
     return;
   }
   const peer_load::WorkReport plain = without_ends(report);
-  const std::string whole_bytes = wire::encode(PeerMessage(ReportToRelay{report}));
-  const std::string plain_bytes = wire::encode(PeerMessage(ReportToRelay{plain}));
-  const std::size_t kind = PeerMessage(ReportToRelay{}).index();
+  const std::string whole_bytes = wire::encode(PeerMessage(WorkReportToRelay{report}));
+  const std::string plain_bytes = wire::encode(PeerMessage(WorkReportToRelay{plain}));
+  const std::size_t kind = PeerMessage(WorkReportToRelay{}).index();
   for (const Nodes& ranked : relays_.relays()) {
     for (std::size_t rank = 0; rank != ranked.size(); ++rank) {
       const bool whole = report.sequence % ranked.size() == rank;
@@ -81,33 +81,33 @@
   }
 }
 
-void PeerChannel::tell_relayed_work(const peer_load::WorkReport& sums) {
+void PeerChannel::broadcast_relayed_work(const peer_load::WorkReport& sums) {
   send_to(relays_.zone_members(), peer_load::RelayedReport{sums});
 }
 
-void PeerChannel::tell_update(discovery::ViewUpdate update) {
+void PeerChannel::broadcast_update(discovery::ViewUpdate update) {
   update.view_address = view_address_;
   if (!relays_.in_use()) {
     send_to_others(update);
     return;
   }
-  send_to_relays(UpdateToRelay{update});
-  if (relays_here()) {
+  send_to_relays(ViewUpdateToRelay{update});
+  if (is_relay()) {
     send_to(relays_.zone_members(), update);
   }
 }
 
 /// In a large fleet each node offers to the relays of its zone, and these to all of the zone: a
 /// relay that has just started learns of a view from any node, and any node from a relay.
-void PeerChannel::tell_offer(const ViewOffer& offer) {
+void PeerChannel::broadcast_offer(const ViewOffer& offer) {
   if (!relays_.in_use()) {
     send_to_others(offer);
     return;
   }
-  send_to(relays_here() ? relays_.zone_members() : own_relays(), offer);
+  send_to(is_relay() ? relays_.zone_members() : own_relays(), offer);
 }
 
-void PeerChannel::tell_every_relay(const PeerMessage& message) {
+void PeerChannel::broadcast_to_relays(const PeerMessage& message) {
   if (!relays_.in_use()) {
     send_to_others(message);
     return;
@@ -121,36 +121,36 @@
 }
 
 template <class Message>
-void PeerChannel::tell_every_node(const Message& message) {
+void PeerChannel::broadcast_to_all(const Message& message) {
   if (!relays_.in_use()) {
     send_to_others(message);
     return;
   }
   send_to_relays(ToRelay<Message>{message});
-  if (relays_here()) {
+  if (is_relay()) {
     send_to(relays_.zone_members(), message);
   }
 }
 
-void PeerChannel::tell_leaving(const NodeLeaving& leaving) {
-  tell_every_node(leaving);
+void PeerChannel::announce_leaving(const NodeLeaving& leaving) {
+  broadcast_to_all(leaving);
 }
 
-void PeerChannel::tell_crashes(const quarantine::CrashReportBatch& news) {
-  tell_every_node(news);
+void PeerChannel::broadcast_crashes(const quarantine::CrashReportBatch& news) {
+  broadcast_to_all(news);
 }
 
-void PeerChannel::tell_limits(const rate_limit::LimitReport& news) {
-  tell_every_node(news);
+void PeerChannel::broadcast_limits(const rate_limit::LimitReport& news) {
+  broadcast_to_all(news);
 }
 
-void PeerChannel::take(const LimitNewsToRelay& told) {
+void PeerChannel::take(const LimitReportToRelay& told) {
   handlers_.limits(told.message);
   send_to(relays_.zone_members(), told.message);
 }
 
-void PeerChannel::tell_notice(const admission::BackendNotice& notice) {
-  tell_every_node(notice);
+void PeerChannel::broadcast_notice(const admission::BackendNotice& notice) {
+  broadcast_to_all(notice);
 }
 
 void PeerChannel::take(const BackendNoticeToRelay& told) {
@@ -159,20 +159,20 @@
 }
 
 /// A relay's own news need not be gathered: it is one of the nodes that tell.
-void PeerChannel::tell_profiles(const engine_profiles::ProfileReport& news) {
-  tell_every_node(news);
+void PeerChannel::broadcast_profiles(const engine_profiles::ProfileReport& news) {
+  broadcast_to_all(news);
 }
 
-void PeerChannel::tell_zone_crashes(const quarantine::CrashReportBatch& news) {
+void PeerChannel::broadcast_crashes_to_zone(const quarantine::CrashReportBatch& news) {
   send_to(relays_.zone_members(), news);
 }
 
-bool PeerChannel::first_of_relays() const {
+bool PeerChannel::is_first_relay() const {
   const auto& zones = relays_.relays();
   return !zones.empty() && is_self(zones.front().front());
 }
 
-discovery::ReadingAssignment PeerChannel::reading_duty() const {
+discovery::ReadingAssignment PeerChannel::reading_assignment() const {
   if (!relays_.in_use()) {
     return {};
   }
@@ -206,7 +206,7 @@
              message.index(), wire::encode(message));
 }
 
-std::vector<discovery::NodeRecord> PeerChannel::near_nodes() const {
+std::vector<discovery::NodeRecord> PeerChannel::nearby_nodes() const {
   Nodes near = relays_.zone_members();
   if (near.empty()) {
     for (const auto& [node, record] : nodes_.others()) {
@@ -226,7 +226,7 @@
   return none;
 }
 
-bool PeerChannel::relays_here() const {
+bool PeerChannel::is_relay() const {
   const Nodes& ranked = own_relays();
   return std::any_of(ranked.begin(), ranked.end(),
                      [this](const auto& record) { return is_self(record); });
@@ -263,7 +263,7 @@
   PeerTraffic& sent = traffic_[kind];
   ++sent.datagrams;
   sent.bytes += bytes.size();
-  sent.bytes_to_zones += to.zone == nodes_.self().zone ? 0 : bytes.size();
+  sent.bytes_to_other_zones += to.zone == nodes_.self().zone ? 0 : bytes.size();
   send_(to.peer_address, bytes);
 }
 
--- a/src/gateway_node/peer_channel.h
+++ b/src/gateway_node/peer_channel.h
@@ -18,8 +18,8 @@
 /// Datagrams sent of one kind.
 struct PeerTraffic {
   std::uint64_t datagrams = 0;
-  std::uint64_t bytes = 0;           ///< Without the headers of UDP and IP.
-  std::uint64_t bytes_to_zones = 0;  ///< Of these, to other zones.
+  std::uint64_t bytes = 0;                 ///< Without the headers of UDP and IP.
+  std::uint64_t bytes_to_other_zones = 0;  ///< Of these, to other zones.
 };
 
 /// What is done with what comes in; all on the loop.
@@ -81,47 +81,47 @@
   void receive(std::string_view bytes, Duration waited = {});
 
   /// This node's own work has changed.
-  void tell_work(const peer_load::WorkReport& report);
+  void broadcast_work(const peer_load::WorkReport& report);
   /// As a relay: what the nodes of the zone are to know.
-  void tell_relayed_work(const peer_load::WorkReport& sums);
+  void broadcast_relayed_work(const peer_load::WorkReport& sums);
   /// This node has looked at the store.
-  void tell_update(discovery::ViewUpdate update);
+  void broadcast_update(discovery::ViewUpdate update);
   /// To all that look at the store: every node, or in a large fleet every relay.
-  void tell_position(const discovery::PositionReport& news) { tell_every_relay(news); }
-  void tell_history(const discovery::HistoryReport& news) { tell_every_relay(news); }
-  void tell_offer(const ViewOffer& offer);
+  void broadcast_position(const discovery::PositionReport& news) { broadcast_to_relays(news); }
+  void broadcast_history(const discovery::HistoryReport& news) { broadcast_to_relays(news); }
+  void broadcast_offer(const ViewOffer& offer);
   /// To all that may come to hold the duties: every node, or in a large fleet every relay.
-  void tell_usage(const usage::UsageReport& report) { tell_every_relay(report); }
+  void broadcast_usage(const usage::UsageReport& report) { broadcast_to_relays(report); }
   /// To every node, in a large fleet by its relays.
-  void tell_leaving(const NodeLeaving& leaving);
+  void announce_leaving(const NodeLeaving& leaving);
   /// To every node, in a large fleet by its relays.
-  void tell_crashes(const quarantine::CrashReportBatch& news);
+  void broadcast_crashes(const quarantine::CrashReportBatch& news);
   /// To every node, in a large fleet by its relays.
-  void tell_limits(const rate_limit::LimitReport& news);
+  void broadcast_limits(const rate_limit::LimitReport& news);
   /// To every node, in a large fleet by its relays.
-  void tell_notice(const admission::BackendNotice& notice);
+  void broadcast_notice(const admission::BackendNotice& notice);
   /// To every node, in a large fleet by its relays, which gather what they pass on.
-  void tell_profiles(const engine_profiles::ProfileReport& news);
+  void broadcast_profiles(const engine_profiles::ProfileReport& news);
   /// As a relay: to the nodes of the zone.
-  void tell_zone_profiles(const engine_profiles::RelayedProfileReports& relayed) {
+  void broadcast_profiles_to_zone(const engine_profiles::RelayedProfileReports& relayed) {
     send_to(relays_.zone_members(), relayed);
   }
   /// As a relay: to the nodes of the zone.
-  void tell_zone_crashes(const quarantine::CrashReportBatch& news);
+  void broadcast_crashes_to_zone(const quarantine::CrashReportBatch& news);
   /// To one node, which need not be known to this one.
   void send(const Endpoint& to, const PeerMessage& message);
 
   /// Whether this node is a relay of its zone, as far as it knows.
-  bool relays_here() const;
-  /// Whether this node is told all usage: see tell_usage().
-  bool told_usage() const { return !relays_.in_use() || relays_here(); }
+  bool is_relay() const;
+  /// Whether this node is told all usage: see broadcast_usage().
+  bool receives_all_usage() const { return !relays_.in_use() || is_relay(); }
   /// Whether this node comes first among the relays of all zones: every node that knows the same
   /// fleet names the same one.
-  bool first_of_relays() const;
+  bool is_first_relay() const;
   /// The relays read the store for all: the first of each zone, then the second ones.
-  discovery::ReadingAssignment reading_duty() const;
+  discovery::ReadingAssignment reading_assignment() const;
   /// Nodes to ask first: of this node's zone, or all where the zone has no other.
-  std::vector<discovery::NodeRecord> near_nodes() const;
+  std::vector<discovery::NodeRecord> nearby_nodes() const;
   const PeerTraffic& traffic(std::size_t kind) const { return traffic_[kind]; }
 
  private:
@@ -135,27 +135,27 @@
   void take(const ViewOffer& offer) { handlers_.offer(offer); }
   void take(const usage::UsageReport& report) { handlers_.usage(report); }
   void take(const quarantine::CrashReportBatch& news) { handlers_.crashes(news); }
-  void take(const CrashNewsToRelay& told) { handlers_.crashes_to_relay(told.message); }
+  void take(const CrashReportBatchToRelay& told) { handlers_.crashes_to_relay(told.message); }
   void take(const quarantine::HorizonRequest& told) { handlers_.horizon_request(told); }
   void take(const quarantine::HorizonReport& told) { handlers_.horizon_report(told); }
-  void take(const ReportToRelay& told);
+  void take(const WorkReportToRelay& told);
   void take(const peer_load::RelayedReport& told) { handlers_.relayed_work(told.sums); }
-  void take(const UpdateToRelay& told);
+  void take(const ViewUpdateToRelay& told);
   void take(const NodeLeaving& told) { handlers_.leaving(told); }
   void take(const NodeLeavingToRelay& told);
   void take(const rate_limit::LimitReport& told) { handlers_.limits(told); }
-  void take(const LimitNewsToRelay& told);
+  void take(const LimitReportToRelay& told);
   void take(const rate_limit::PermitRequest& told) { handlers_.permit_request(told); }
   void take(const rate_limit::PermitReply& told) { handlers_.permit_reply(told); }
   void take(const admission::BackendNotice& told) { handlers_.notice(told); }
   void take(const BackendNoticeToRelay& told);
   void take(const engine_profiles::ProfileReport& told) { handlers_.profiles(told); }
-  void take(const ProfileNewsToRelay& told) { handlers_.profiles_to_relay(told.message); }
+  void take(const ProfileReportToRelay& told) { handlers_.profiles_to_relay(told.message); }
   void take(const engine_profiles::RelayedProfileReports& told) {
     handlers_.relayed_profiles(told);
   }
   template <int kPlace>
-  void take(const FormerMessage<kPlace>& /*told*/) {}
+  void take(const RetiredMessage<kPlace>& /*told*/) {}
 
   bool is_self(const discovery::NodeRecord& record) const {
     return record.node == nodes_.self().node;
@@ -168,10 +168,10 @@
   /// To the relays of all zones but this node itself.
   void send_to_relays(const PeerMessage& message);
   /// To every node, or in a large fleet to the relays alone.
-  void tell_every_relay(const PeerMessage& message);
+  void broadcast_to_relays(const PeerMessage& message);
   /// In a large fleet by relays, which take `to_relay` and pass `message` on to their zones.
   template <class Message>
-  void tell_every_node(const Message& message);
+  void broadcast_to_all(const Message& message);
   void send_encoded(const Nodes& nodes, std::size_t kind, std::string_view bytes);
   void send_bytes(const discovery::NodeRecord& to, std::size_t kind, std::string_view bytes);
 
--- a/src/gateway_node/peer_news.cc
+++ b/src/gateway_node/peer_exchange.cc
@@ -1,4 +1,4 @@
-#include "gateway_node/peer_news.h"
+#include "gateway_node/peer_exchange.h"
 
 #include <iterator>
 #include <utility>
@@ -30,39 +30,39 @@
 
 }  // namespace
 
-PeerNews::PeerNews(World world, PeerNewsOptions options, PeerChannel::Send send,
-                   std::function<void(const Endpoint&)> on_offer)
-    : world_(world),
+PeerExchange::PeerExchange(Dependencies deps, PeerExchangeOptions options, PeerChannel::Send send,
+                           std::function<void(const Endpoint&)> on_offer)
+    : deps_(deps),
       options_(std::move(options)),
       on_offer_(std::move(on_offer)),
-      channel_(world.nodes, {.relays = options_.relays, .view_address = options_.view_address},
+      channel_(deps.nodes, {.relays = options_.relays, .view_address = options_.view_address},
                make_handlers(), std::move(send)),
-      peer_work_([this](const gateway::BackendId& engine) { return world_.loads.own(engine); }),
+      peer_work_([this](const gateway::BackendId& engine) { return deps_.loads.own(engine); }),
       announcer_(
-          world.timers, {.node = world.nodes.self().node, .incarnation = world.random.next()},
-          [this](const gateway::BackendId& engine) { return world_.loads.own(engine); },
-          [this](const peer_load::WorkReport& report) { channel_.tell_work(report); }),
+          deps.timers, {.node = deps.nodes.self().node, .incarnation = deps.random.next()},
+          [this](const gateway::BackendId& engine) { return deps_.loads.own(engine); },
+          [this](const peer_load::WorkReport& report) { channel_.broadcast_work(report); }),
       relay_(
-          world.timers,
-          {.node = world.nodes.self().node,
-           .incarnation = world.random.next(),
-           .batch_window = options_.relay_gather,
+          deps.timers,
+          {.node = deps.nodes.self().node,
+           .incarnation = deps.random.next(),
+           .batch_window = options_.relay_batch_window,
            .refresh = false},
           [this](const gateway::BackendId& engine) { return work_of_all(engine); },
-          [this](const peer_load::WorkReport& sums) { channel_.tell_relayed_work(sums); }),
-      offer_timer_(world.timers),
-      leaving_timer_(world.timers) {
+          [this](const peer_load::WorkReport& sums) { channel_.broadcast_relayed_work(sums); }),
+      offer_timer_(deps.timers),
+      leaving_timer_(deps.timers) {
   listen_to_loads();
-  world_.watcher.on_poll(
-      [this](const discovery::ViewUpdate& update) { channel_.tell_update(update); });
-  world_.watcher.on_position(
-      [this](const discovery::PositionReport& news) { channel_.tell_position(news); });
-  world_.watcher.on_history(
-      [this](const discovery::HistoryReport& news) { channel_.tell_history(news); });
+  deps_.watcher.on_poll(
+      [this](const discovery::ViewUpdate& update) { channel_.broadcast_update(update); });
+  deps_.watcher.on_position(
+      [this](const discovery::PositionReport& news) { channel_.broadcast_position(news); });
+  deps_.watcher.on_history(
+      [this](const discovery::HistoryReport& news) { channel_.broadcast_history(news); });
 }
 
-void PeerNews::listen_to_loads() {
-  gateway::LoadTable& loads = world_.loads;
+void PeerExchange::listen_to_loads() {
+  gateway::LoadTable& loads = deps_.loads;
   loads.set_peers(&peer_work_);
   loads.on_change([this](const gateway::BackendId& id) {
     if (is_engine(id)) {
@@ -74,185 +74,188 @@
       announcer_.note_attempt_end(id, failed);
     }
   });
-  loads.on_unresponsive([this](const gateway::BackendId& id) { announcer_.note_unresponsive(id); });
+  loads.on_unresponsive([this](const gateway::BackendId& id) { announcer_.note_silence(id); });
   loads.on_prompt([this](const gateway::BackendId& id, const std::vector<std::uint64_t>& keys) {
     announcer_.note_prefilled_parts(id, keys);
   });
 }
 
-bool PeerNews::is_engine(const gateway::BackendId& id) const {
-  const gateway::Backend* backend = world_.fleet.find(id);
+bool PeerExchange::is_engine(const gateway::BackendId& id) const {
+  const gateway::Backend* backend = deps_.fleet.find(id);
   return backend != nullptr && backend->role != gateway::EngineRole::kNone;
 }
 
-PeerHandlers PeerNews::make_handlers() {
+PeerHandlers PeerExchange::make_handlers() {
   return {
-      .work = [this](const peer_load::WorkReport& report) { take_work(report); },
-      .relayed_work = [this](const peer_load::WorkReport& sums) { take_relayed_work(sums); },
+      .work = [this](const peer_load::WorkReport& report) { receive_work(report); },
+      .relayed_work = [this](const peer_load::WorkReport& sums) { receive_relayed_work(sums); },
       .work_to_relay = [this](const peer_load::WorkReport& report) { relay_.note_report(report); },
       .update =
           [this](const discovery::ViewUpdate& update, std::function<void()> covered) {
-            world_.watcher.receive_update(update, std::move(covered));
+            deps_.watcher.receive_update(update, std::move(covered));
           },
       .position =
-          [this](const discovery::PositionReport& news) { world_.watcher.receive_position(news); },
+          [this](const discovery::PositionReport& news) { deps_.watcher.receive_position(news); },
       .history =
-          [this](const discovery::HistoryReport& news) { world_.watcher.receive_history(news); },
-      .parts_request = [this](const peer_load::PartsRequest& request) { tell_parts(request); },
+          [this](const discovery::HistoryReport& news) { deps_.watcher.receive_history(news); },
+      .parts_request =
+          [this](const peer_load::PartsRequest& request) { send_cached_parts(request); },
       .offer = [this](const ViewOffer& offer) { on_offer_(offer.view_address); },
       .usage = [this](const usage::UsageReport& report) { call_if_set(usage_, report); },
       .crashes =
-          [this](const quarantine::CrashReportBatch& news) { call_if_set(crashes_.take, news); },
+          [this](const quarantine::CrashReportBatch& news) { call_if_set(crashes_.receive, news); },
       .crashes_to_relay =
           [this](const quarantine::CrashReportBatch& news) {
-            call_if_set(crashes_.take_to_relay, news);
+            call_if_set(crashes_.receive_for_relay, news);
           },
       .horizon_request = [this](const quarantine::HorizonRequest& request) { answer(request); },
       .horizon_report =
           [this](const quarantine::HorizonReport& told) {
-            call_if_set(crashes_.take_horizon, told);
+            call_if_set(crashes_.receive_horizon, told);
           },
       .leaving =
-          [this](const NodeLeaving& told) {
-            world_.nodes.note_leaving(told.node, told.registered);
-          },
-      .limits = [this](const rate_limit::LimitReport& news) { call_if_set(limits_.take, news); },
+          [this](const NodeLeaving& told) { deps_.nodes.note_leaving(told.node, told.registered); },
+      .limits = [this](const rate_limit::LimitReport& news) { call_if_set(limits_.receive, news); },
       .permit_request =
           [this](const rate_limit::PermitRequest& request) {
-            call_if_set(limits_.take_request, request);
+            call_if_set(limits_.receive_request, request);
           },
       .permit_reply =
-          [this](const rate_limit::PermitReply& reply) { call_if_set(limits_.take_reply, reply); },
+          [this](const rate_limit::PermitReply& reply) {
+            call_if_set(limits_.receive_reply, reply);
+          },
       .notice =
-          [this](const admission::BackendNotice& notice) { call_if_set(notices_.take, notice); },
+          [this](const admission::BackendNotice& notice) { call_if_set(notices_.receive, notice); },
       .profiles =
-          [this](const engine_profiles::ProfileReport& news) { call_if_set(profiles_.take, news); },
+          [this](const engine_profiles::ProfileReport& news) {
+            call_if_set(profiles_.receive, news);
+          },
       .profiles_to_relay =
           [this](const engine_profiles::ProfileReport& news) {
-            call_if_set(profiles_.take_to_relay, news);
+            call_if_set(profiles_.receive_for_relay, news);
           },
       .relayed_profiles =
           [this](const engine_profiles::RelayedProfileReports& relayed) {
-            call_if_set(profiles_.take_relayed, relayed);
+            call_if_set(profiles_.receive_relayed, relayed);
           }};
 }
 
-void PeerNews::take_work(const peer_load::WorkReport& report) {
-  const MonotonicTime now = world_.clock.now();
+void PeerExchange::receive_work(const peer_load::WorkReport& report) {
+  const MonotonicTime now = deps_.clock.now();
   peer_work_.apply(report, now);
-  take_observations(report, now);
+  apply_observations(report, now);
 }
 
 /// What this node told itself comes back with the sums: its own ends then count twice, one among
 /// those of all nodes.
-void PeerNews::take_relayed_work(const peer_load::WorkReport& sums) {
-  const MonotonicTime now = world_.clock.now();
+void PeerExchange::receive_relayed_work(const peer_load::WorkReport& sums) {
+  const MonotonicTime now = deps_.clock.now();
   peer_work_.apply_relayed(sums, now);
-  take_observations(sums, now);
+  apply_observations(sums, now);
 }
 
-void PeerNews::take_observations(const peer_load::WorkReport& report, MonotonicTime now) {
+void PeerExchange::apply_observations(const peer_load::WorkReport& report, MonotonicTime now) {
   for (const peer_load::EngineWork& work : report.engines) {
-    if (world_.fleet.find(work.engine) == nullptr) {
+    if (deps_.fleet.find(work.engine) == nullptr) {
       // Gone already, or not seen yet: nothing would ever forget it again.
       peer_work_.forget(work.engine);
       continue;
     }
-    gateway::BackendLoad& load = world_.loads.of(work.engine);
+    gateway::BackendLoad& load = deps_.loads.of(work.engine);
     if (work.ended != 0) {
       load.note_peer_outcomes(work.ended, work.failed, now);
     }
-    if (work.unresponsive) {
+    if (work.silent) {
       load.note_peer_unresponsive(now);
     }
     for (const std::uint64_t key : work.prefilled_parts) {
-      world_.loads.note_cached(work.engine, key, now);
+      deps_.loads.note_cached(work.engine, key, now);
     }
   }
 }
 
-gateway::EngineWorkload PeerNews::work_of_all(const gateway::BackendId& engine) const {
-  gateway::EngineWorkload all = world_.loads.own(engine);
-  all += peer_work_.direct_work_at(engine, world_.clock.now());
+gateway::EngineWorkload PeerExchange::work_of_all(const gateway::BackendId& engine) const {
+  gateway::EngineWorkload all = deps_.loads.own(engine);
+  all += peer_work_.direct_work_at(engine, deps_.clock.now());
   return all;
 }
 
-void PeerNews::tell_parts(const peer_load::PartsRequest& request) {
+void PeerExchange::send_cached_parts(const peer_load::PartsRequest& request) {
   announcer_.send_cached_parts(
-      world_.loads, world_.clock.now(),
+      deps_.loads, deps_.clock.now(),
       [&](const peer_load::WorkReport& report) { channel_.send(request.reply_to, report); });
-  tell_all_crashes(request.reply_to);
-  if (limits_.tell_all) {
-    limits_.tell_all(
+  send_all_crashes(request.reply_to);
+  if (limits_.send_all) {
+    limits_.send_all(
         [&](const rate_limit::LimitReport& news) { channel_.send(request.reply_to, news); });
   }
-  if (notices_.tell_all) {
-    notices_.tell_all(
+  if (notices_.send_all) {
+    notices_.send_all(
         [&](const admission::BackendNotice& notice) { channel_.send(request.reply_to, notice); });
   }
-  if (profiles_.tell_all) {
-    profiles_.tell_all(
+  if (profiles_.send_all) {
+    profiles_.send_all(
         [&](const engine_profiles::ProfileReport& news) { channel_.send(request.reply_to, news); });
   }
 }
 
-void PeerNews::tell_all_crashes(const Endpoint& to) {
-  if (crashes_.tell_all) {
-    crashes_.tell_all([&](const quarantine::CrashReportBatch& news) { channel_.send(to, news); });
+void PeerExchange::send_all_crashes(const Endpoint& to) {
+  if (crashes_.send_all) {
+    crashes_.send_all([&](const quarantine::CrashReportBatch& news) { channel_.send(to, news); });
   }
   if (crashes_.horizon) {
     channel_.send(to, crashes_.horizon());
   }
 }
 
-void PeerNews::answer(const quarantine::HorizonRequest& request) {
+void PeerExchange::answer(const quarantine::HorizonRequest& request) {
   if (crashes_.horizon && crashes_.horizon().age - kHorizonGain > request.age) {
-    tell_all_crashes(request.reply_to);
+    send_all_crashes(request.reply_to);
   }
 }
 
 /// Of any zone: all nodes of one may have started at once.
-void PeerNews::ask_for_horizon() {
-  const auto& others = world_.nodes.others();
+void PeerExchange::request_horizon() {
+  const auto& others = deps_.nodes.others();
   if (others.empty()) {
     return;
   }
   const auto chosen =
-      std::next(others.begin(), static_cast<std::ptrdiff_t>(world_.random.below(others.size())));
+      std::next(others.begin(), static_cast<std::ptrdiff_t>(deps_.random.below(others.size())));
   channel_.send(chosen->second.peer_address,
                 quarantine::HorizonRequest{options_.peer_address, crashes_.horizon().age});
 }
 
-void PeerNews::ask_for_parts() {
-  std::vector<discovery::NodeRecord> peers = channel_.near_nodes();
+void PeerExchange::request_cached_parts() {
+  std::vector<discovery::NodeRecord> peers = channel_.nearby_nodes();
   for (std::size_t asked = 0; asked != kPeersAsked && !peers.empty(); ++asked) {
-    const std::size_t chosen = world_.random.below(peers.size());
+    const std::size_t chosen = deps_.random.below(peers.size());
     channel_.send(peers[chosen].peer_address, peer_load::PartsRequest{options_.peer_address});
     peers.erase(peers.begin() + static_cast<std::ptrdiff_t>(chosen));
   }
 }
 
-void PeerNews::on_store_state(bool reachable) {
+void PeerExchange::on_store_state(bool reachable) {
   offer_timer_.disarm();
   if (!reachable && !options_.view_address.empty()) {
     offer_view();
   }
 }
 
-void PeerNews::offer_view() {
-  if (world_.fleet.routes() != nullptr) {
-    channel_.tell_offer({options_.view_address});
+void PeerExchange::offer_view() {
+  if (deps_.fleet.routes() != nullptr) {
+    channel_.broadcast_offer({options_.view_address});
   }
   offer_timer_.arm(kOfferPeriod, [this] { offer_view(); });
 }
 
-void PeerNews::tell_leaving(std::function<shared_store::StoreRevision()> registered) {
-  channel_.tell_leaving({world_.nodes.self().node, registered()});
+void PeerExchange::announce_leaving(std::function<shared_store::StoreRevision()> registered) {
+  channel_.announce_leaving({deps_.nodes.self().node, registered()});
   leaving_timer_.arm(kLeavingPause,
-                     [this, registered = std::move(registered)] { tell_leaving(registered); });
+                     [this, registered = std::move(registered)] { announce_leaving(registered); });
 }
 
-void PeerNews::add_metrics(metrics::SampleSink& sink) const {
+void PeerExchange::add_metrics(metrics::SampleSink& sink) const {
   for (std::size_t kind = 0; kind != kPeerMessageNames.size(); ++kind) {
     const PeerTraffic& sent = channel_.traffic(kind);
     const std::vector<metrics::Label> labels{{"kind", kPeerMessageNames[kind]}};
@@ -261,9 +264,9 @@
     sink.counter({"peer_bytes_sent", "Their bytes, without headers"},
                  static_cast<double>(sent.bytes), labels);
     sink.counter({"peer_bytes_sent_to_other_zones", "Of these, to other zones"},
-                 static_cast<double>(sent.bytes_to_zones), labels);
+                 static_cast<double>(sent.bytes_to_other_zones), labels);
   }
-  sink.gauge({"relay", "Whether this node relays for its zone"}, relays_here() ? 1 : 0);
+  sink.gauge({"relay", "Whether this node relays for its zone"}, is_relay() ? 1 : 0);
 }
 
 }  // namespace ochrespring::gateway_node
--- a/src/gateway_node/peer_message.h
+++ b/src/gateway_node/peer_message.h
@@ -48,18 +48,18 @@
   }
 };
 
-using ReportToRelay = ToRelay<peer_load::WorkReport>;
-using CrashNewsToRelay = ToRelay<quarantine::CrashReportBatch>;
-using UpdateToRelay = ToRelay<discovery::ViewUpdate>;
+using WorkReportToRelay = ToRelay<peer_load::WorkReport>;
+using CrashReportBatchToRelay = ToRelay<quarantine::CrashReportBatch>;
+using ViewUpdateToRelay = ToRelay<discovery::ViewUpdate>;
 using NodeLeavingToRelay = ToRelay<NodeLeaving>;
-using LimitNewsToRelay = ToRelay<rate_limit::LimitReport>;
+using LimitReportToRelay = ToRelay<rate_limit::LimitReport>;
 using BackendNoticeToRelay = ToRelay<admission::BackendNotice>;
-using ProfileNewsToRelay = ToRelay<engine_profiles::ProfileReport>;
+using ProfileReportToRelay = ToRelay<engine_profiles::ProfileReport>;
 
 /// In the place of a message that nodes of earlier builds send and this build does not read: their
 /// revisions name no life of the store. It is never sent, and taken for no message when it comes.
 template <int kPlace>
-struct FormerMessage {
+struct RetiredMessage {
   template <class Archive>
   void serialize(Archive& /*archive*/, unsigned /*version*/) {}
 };
@@ -67,14 +67,16 @@
 /// Each stands for itself: it may be lost, doubled or late. The place of an alternative is its name
 /// on the wire: builds that run side by side do not read what they do not know, so a message whose
 /// form changes gets a new place at the end.
-using PeerMessage = std::variant<
-    peer_load::WorkReport, FormerMessage<1>, peer_load::PartsRequest, ViewOffer, ReportToRelay,
-    peer_load::RelayedReport, FormerMessage<6>, usage::UsageReport, quarantine::CrashReportBatch,
-    CrashNewsToRelay, discovery::ViewUpdate, UpdateToRelay, NodeLeaving, NodeLeavingToRelay,
-    rate_limit::LimitReport, LimitNewsToRelay, rate_limit::PermitRequest, rate_limit::PermitReply,
-    admission::BackendNotice, BackendNoticeToRelay, quarantine::HorizonRequest,
-    quarantine::HorizonReport, discovery::PositionReport, discovery::HistoryReport,
-    engine_profiles::ProfileReport, ProfileNewsToRelay, engine_profiles::RelayedProfileReports>;
+using PeerMessage =
+    std::variant<peer_load::WorkReport, RetiredMessage<1>, peer_load::PartsRequest, ViewOffer,
+                 WorkReportToRelay, peer_load::RelayedReport, RetiredMessage<6>, usage::UsageReport,
+                 quarantine::CrashReportBatch, CrashReportBatchToRelay, discovery::ViewUpdate,
+                 ViewUpdateToRelay, NodeLeaving, NodeLeavingToRelay, rate_limit::LimitReport,
+                 LimitReportToRelay, rate_limit::PermitRequest, rate_limit::PermitReply,
+                 admission::BackendNotice, BackendNoticeToRelay, quarantine::HorizonRequest,
+                 quarantine::HorizonReport, discovery::PositionReport, discovery::HistoryReport,
+                 engine_profiles::ProfileReport, ProfileReportToRelay,
+                 engine_profiles::RelayedProfileReports>;
 
 /// Names of the alternatives, in order, for metrics.
 constexpr std::array<const char*, std::variant_size_v<PeerMessage>> kPeerMessageNames{
--- a/src/gateway_node/settings.cc
+++ b/src/gateway_node/settings.cc
@@ -197,7 +197,7 @@
       {"relay-from-nodes", "Number of nodes from which on news between them goes by relays",
        kNodesRule, "48", false, store_whole(&Settings::relay_from_nodes, 2, 1e6)},
       {"relay-gather-ms", "Time for which a relay gathers what it is told", kMillisecondRule, "10",
-       false, store_milliseconds(&Settings::relay_gather)},
+       false, store_milliseconds(&Settings::relay_batch_window)},
       {"cloud", "Address that takes usage reports and orders of servers; none if absent",
        settings::kPeerEndpointRule, "", false,
        [](const std::string& text, Settings& target) {
--- a/src/gateway_node/settings.h
+++ b/src/gateway_node/settings.h
@@ -40,7 +40,7 @@
   std::uint32_t relay_from_nodes = 48;
   std::uint32_t replicate_resumable_streams = 0;  ///< 0 or 1.
   /// How long a relay gathers what it is told before it tells its zone.
-  Duration relay_gather{std::chrono::milliseconds(10)};
+  Duration relay_batch_window{std::chrono::milliseconds(10)};
   Endpoint cloud;  ///< Takes the calls of duties; empty: there are none.
   bool reports_usage = false;
   bool orders_servers = false;
--- a/src/gateway_node/tests/compatibility_test.cc
+++ b/src/gateway_node/tests/compatibility_test.cc
@@ -158,7 +158,7 @@
 TEST_CASE("messages that the build before does not know begin with a kind that it has not got") {
   constexpr std::size_t kKindsBefore = 10;
   CHECK(PeerMessage(discovery::ViewUpdate()).index() >= kKindsBefore);
-  CHECK(PeerMessage(UpdateToRelay()).index() >= kKindsBefore);
+  CHECK(PeerMessage(ViewUpdateToRelay()).index() >= kKindsBefore);
   CHECK(PeerMessage(NodeLeaving()).index() >= kKindsBefore);
   CHECK(PeerMessage(NodeLeavingToRelay()).index() >= kKindsBefore);
   constexpr std::size_t kKindsBeforeRateLimits = 14;
--- a/src/gateway_node/tests/crash_fleet.h
+++ b/src/gateway_node/tests/crash_fleet.h
@@ -20,7 +20,7 @@
 #include "gateway/backend_incarnation.h"
 #include "gateway/gateway.h"
 #include "gateway/tests/gateway_fixture.h"
-#include "gateway_node/peer_news.h"
+#include "gateway_node/peer_exchange.h"
 #include "logging/logger.h"
 #include "quarantine/quarantine.h"
 #include "rate_limit/rate_limiter.h"
@@ -165,7 +165,7 @@
   FleetTransport transport;
   shared_store::testing::MemoryStore store;
   discovery::FleetWatcher watcher;
-  PeerNews news;
+  PeerExchange news;
   quarantine::Quarantine quarantine;
   rate_limit::RateLimiter rate_limiter;
   admission::AdmissionControl admission;
@@ -727,7 +727,7 @@
           {.peer_address = record.peer_address,
            .view_address = record.peer_address,
            .relays = {.min_nodes = fleet.options().relay_from_nodes},
-           .relay_gather = 10ms},
+           .relay_batch_window = 10ms},
           [this, &fleet](const Endpoint& to, std::string_view bytes) {
             fleet.carry(*this, to, bytes);
           },
@@ -737,18 +737,18 @@
           {.key_prefix = fleet.codec.layout().quarantine_prefix, .node = record.node},
           {.probe = [this, &fleet](const Endpoint& address,
                                    auto done) { fleet.probe(*this, address, std::move(done)); },
-           .broadcast = [this](const auto& told) { news.tell_crashes(told); },
-           .broadcast_to_zone = [this](const auto& told) { news.tell_zone_crashes(told); },
-           .request_horizon = [this] { news.ask_for_horizon(); },
+           .broadcast = [this](const auto& told) { news.broadcast_crashes(told); },
+           .broadcast_to_zone = [this](const auto& told) { news.broadcast_crashes_to_zone(told); },
+           .request_horizon = [this] { news.request_horizon(); },
            .node_count = [this] { return nodes.count(); }}),
       rate_limiter(
           {clock, machine, limiter_random, fleet.logger, view, nodes},
-          {.broadcast = [this](const auto& told) { news.tell_limits(told); },
+          {.broadcast = [this](const auto& told) { news.broadcast_limits(told); },
            .send = [this](const Endpoint& to, const auto& told) { news.send(to, told); },
            .send_request = [this](const Endpoint& to, const auto& told) { news.send(to, told); },
            .send_reply = [this](const Endpoint& to, const auto& told) { news.send(to, told); }}),
       admission({clock, limiter_random, fleet.logger, view, loads, rate_limiter},
-                [this](const auto& told) { news.tell_notice(told); }),
+                [this](const auto& told) { news.broadcast_notice(told); }),
       gateway({clock,
                machine,
                transport,
@@ -781,18 +781,18 @@
   watcher.on_other_key(
       [this](const auto& key, const auto& value) { quarantine.apply_store_change(key, value); });
   news.on_crashes(
-      {.take = [this](const auto& told) { quarantine.receive(told); },
-       .take_to_relay = [this](const auto& told) { quarantine.receive_for_relay(told); },
-       .tell_all = [this](const auto& send) { quarantine.send_all(send); },
-       .take_horizon = [this](const auto& told) { quarantine.receive(told); },
+      {.receive = [this](const auto& told) { quarantine.receive(told); },
+       .receive_for_relay = [this](const auto& told) { quarantine.receive_for_relay(told); },
+       .send_all = [this](const auto& send) { quarantine.send_all(send); },
+       .receive_horizon = [this](const auto& told) { quarantine.receive(told); },
        .horizon = [this] { return quarantine.horizon(); }});
   watcher.on_first_listing([this] { quarantine.on_first_listing(); });
-  news.on_limits({.take = [this](const auto& told) { rate_limiter.receive(told); },
-                  .take_request = [this](const auto& told) { rate_limiter.receive(told); },
-                  .take_reply = [this](const auto& told) { rate_limiter.receive(told); },
-                  .tell_all = [this](const auto& send) { rate_limiter.send_all(send); }});
-  news.on_notices({.take = [this](const auto& told) { admission.receive(told); },
-                   .tell_all = [this](const auto& send) { admission.send_all(send); }});
+  news.on_limits({.receive = [this](const auto& told) { rate_limiter.receive(told); },
+                  .receive_request = [this](const auto& told) { rate_limiter.receive(told); },
+                  .receive_reply = [this](const auto& told) { rate_limiter.receive(told); },
+                  .send_all = [this](const auto& send) { rate_limiter.send_all(send); }});
+  news.on_notices({.receive = [this](const auto& told) { admission.receive(told); },
+                   .send_all = [this](const auto& send) { admission.send_all(send); }});
   watcher.on_store_state([this](bool reachable) { news.on_store_state(reachable); });
   watcher.on_view_needed([this, &fleet](auto done) {
     fleet.fetch_view(*this, {offered_at, {}}, std::move(done));
@@ -800,11 +800,11 @@
   watcher.on_fetch_needed([this, &fleet](const auto& request, auto done) {
     fleet.fetch_view(*this, request, std::move(done));
   });
-  watcher.on_reading_assignment([this] { return news.channel().reading_duty(); });
+  watcher.on_reading_assignment([this] { return news.channel().reading_assignment(); });
   watcher.on_current([this] {
     quarantine.on_store_available();
     if (!std::exchange(asked, true)) {
-      news.ask_for_parts();
+      news.request_cached_parts();
     }
   });
   quarantine.start();
--- a/src/gateway_node/tests/large_fleet.h
+++ b/src/gateway_node/tests/large_fleet.h
@@ -16,7 +16,7 @@
 
 #include "base/random.h"
 #include "discovery/fleet_watcher.h"
-#include "gateway_node/peer_news.h"
+#include "gateway_node/peer_exchange.h"
 #include "logging/logger.h"
 #include "shared_store/era_tracker.h"
 #include "simulation/virtual_time.h"
@@ -268,7 +268,7 @@
   void leave() {
     leaving = true;
     nodes.leave();
-    news.tell_leaving([this, told = registered] {
+    news.announce_leaving([this, told = registered] {
       return leaving ? std::max(told, nodes.own_registration_revision()) : told;
     });
   }
@@ -284,7 +284,7 @@
   gateway::LoadTable loads;
   StoreOfNode store;
   discovery::FleetWatcher watcher;
-  PeerNews news;
+  PeerExchange news;
 };
 
 /// Nodes in zones before a store that is written to all the time by servers' heartbeats.
@@ -464,7 +464,7 @@
           {.peer_address = record.peer_address,
            .view_address = record.peer_address,
            .relays = {.min_nodes = 48},
-           .relay_gather = 10ms},
+           .relay_batch_window = 10ms},
           [this, &large](const Endpoint& to, std::string_view bytes) {
             large.carry(*this, to, bytes);
           },
@@ -475,7 +475,7 @@
   });
   watcher.on_view_needed(
       [this, &large](auto done) { large.fetch_from_any(*this, std::move(done)); });
-  watcher.on_reading_assignment([this] { return news.channel().reading_duty(); });
+  watcher.on_reading_assignment([this] { return news.channel().reading_assignment(); });
   watcher.on_store_state([this](bool reachable) { news.on_store_state(reachable); });
 }
 
--- a/src/gateway_node/tests/large_fleet_test.cc
+++ b/src/gateway_node/tests/large_fleet_test.cc
@@ -139,7 +139,7 @@
   fleet.start();
   std::vector<FleetNode*> relays;
   for (const auto& node : fleet.nodes) {
-    if (node->news.relays_here() && node->record.zone == ZoneName("b")) {
+    if (node->news.is_relay() && node->record.zone == ZoneName("b")) {
       relays.push_back(node.get());
     }
   }
@@ -236,7 +236,7 @@
   fleet.start();
   fleet.advance(4s);
   for (const auto& node : fleet.nodes) {
-    const discovery::ReadingAssignment duty = node->news.channel().reading_duty();
+    const discovery::ReadingAssignment duty = node->news.channel().reading_assignment();
     node->cut_off = duty.role == discovery::ReadingRole::kReader && duty.rank < 4;
   }
   const std::uint64_t reads = fleet.state.reads;
--- a/src/gateway_node/tests/node_duties_test.cc
+++ b/src/gateway_node/tests/node_duties_test.cc
@@ -78,7 +78,7 @@
     time.schedule_after(1ms, [this, report] {
       for (std::size_t i = 0; i != kRelays; ++i) {
         if (alive[i]) {
-          nodes[i]->duties.take_usage(report);
+          nodes[i]->duties.receive_usage(report);
         }
       }
     });
@@ -133,9 +133,9 @@
              {.key_prefix = "duties/",
               .node = NodeId("n" + std::to_string(number)),
               .usage_windows = kWindows},
-             {.fitness = {.to_claim = [&fleet, number] { return fleet.is_first(number); },
-                          .to_hold = [number] { return number < DutyFleet::kRelays; }},
-              .tell = [&fleet](const usage::UsageReport& report) { fleet.carry(report); }}) {}
+             {.eligibility = {.to_claim = [&fleet, number] { return fleet.is_first(number); },
+                              .to_hold = [number] { return number < DutyFleet::kRelays; }},
+              .send_usage = [&fleet](const usage::UsageReport& report) { fleet.carry(report); }}) {}
 
 }  // namespace
 
--- a/src/gateway_node/tests/peer_channel_test.cc
+++ b/src/gateway_node/tests/peer_channel_test.cc
@@ -51,14 +51,14 @@
                  .crashes_to_relay =
                      [this](const quarantine::CrashReportBatch& news) {
                        ++crash_news;
-                       channel.tell_zone_crashes(news);
+                       channel.broadcast_crashes_to_zone(news);
                      },
                  .leaving = [this](const auto&) { ++leaving_words; },
                  .profiles = [this](const auto&) { ++profile_news; },
                  .profiles_to_relay =
                      [this](const engine_profiles::ProfileReport& news) {
                        ++profile_news;
-                       channel.tell_zone_profiles({{news}});
+                       channel.broadcast_profiles_to_zone({{news}});
                      },
                  .relayed_profiles = [this](const auto&) { ++profile_news; }},
                 std::move(send)) {}
@@ -133,23 +133,23 @@
 
 TEST_CASE("in a small fleet each node tells all others") {
   ChannelFleet fleet(11);
-  fleet.nodes[0]->channel.tell_update({});
+  fleet.nodes[0]->channel.broadcast_update({});
   fleet.deliver();
   CHECK(fleet.total(&ChannelNode::updates) == 9);
   CHECK(fleet.nodes[0]->updates == 0);
   const PeerTraffic& sent =
       fleet.nodes[0]->channel.traffic(PeerMessage(discovery::ViewUpdate{}).index());
   CHECK(sent.datagrams == 9);
-  CHECK(sent.bytes_to_zones * 9 == sent.bytes * 5);
+  CHECK(sent.bytes_to_other_zones * 9 == sent.bytes * 5);
 }
 
 TEST_CASE("in a large fleet an update reaches every node by two relays of its zone") {
   ChannelFleet fleet(10);
   for (const auto& sender : fleet.nodes) {
     const int before = fleet.total(&ChannelNode::updates);
-    sender->channel.tell_update({});
+    sender->channel.broadcast_update({});
     // Four relays hear it, and each tells the four others of its zone; the sender may be one.
-    const bool relay = sender->channel.relays_here();
+    const bool relay = sender->channel.is_relay();
     const int heard = relay ? 3 + 4 * 4 : 4 + 4 * 4;
     fleet.deliver();
     CHECK(fleet.total(&ChannelNode::updates) == before + heard);
@@ -165,19 +165,19 @@
   std::set<Endpoint> relays{Endpoint("a0")};
   for (const auto& node : fleet.nodes) {
     node->covers = false;
-    if (node->channel.relays_here()) {
+    if (node->channel.is_relay()) {
       relays.insert(Endpoint(node->record.node.value()));
     }
   }
-  const int heard = sender.channel.relays_here() ? 3 + 4 : 4;
-  sender.channel.tell_update({});
+  const int heard = sender.channel.is_relay() ? 3 + 4 : 4;
+  sender.channel.broadcast_update({});
   fleet.deliver();
   CHECK(fleet.total(&ChannelNode::updates) == heard);
   for (const auto& node : fleet.nodes) {
     node->covers = true;
   }
-  sender.channel.tell_update({});
-  const int then = sender.channel.relays_here() ? 3 + 4 * 4 : 4 + 4 * 4;
+  sender.channel.broadcast_update({});
+  const int then = sender.channel.is_relay() ? 3 + 4 * 4 : 4 + 4 * 4;
   fleet.deliver();
   CHECK(fleet.total(&ChannelNode::updates) == heard + then);
   for (const auto& node : fleet.nodes) {
@@ -190,7 +190,7 @@
 TEST_CASE("work goes to the relays of all zones, and how attempts ended to one of each zone") {
   ChannelFleet fleet(10);
   for (std::uint64_t sequence = 1; sequence != 9; ++sequence) {
-    fleet.nodes[0]->channel.tell_work(make_report(sequence));
+    fleet.nodes[0]->channel.broadcast_work(make_report(sequence));
   }
   fleet.deliver();
   CHECK(fleet.total(&ChannelNode::to_relay) == 8 * 4);
@@ -207,8 +207,8 @@
   ChannelFleet fleet(10);
   int expected = 0;
   for (const auto& sender : fleet.nodes) {
-    sender->channel.tell_offer({Endpoint("127.0.0.1:9")});
-    expected += sender->channel.relays_here() ? 4 : 2;
+    sender->channel.broadcast_offer({Endpoint("127.0.0.1:9")});
+    expected += sender->channel.is_relay() ? 4 : 2;
   }
   fleet.deliver();
   CHECK(fleet.total(&ChannelNode::offers) == expected);
@@ -222,15 +222,15 @@
   for (const std::uint32_t from_nodes : {2U, 100U}) {
     ChannelFleet fleet(from_nodes);
     for (const auto& node : fleet.nodes) {
-      node->channel.tell_usage({.node = node->record.node, .life = 1, .windows = {}});
+      node->channel.broadcast_usage({.node = node->record.node, .life = 1, .windows = {}});
     }
     fleet.deliver();
     int first = 0;
     for (const auto& node : fleet.nodes) {
       // What a node tells itself does not go over the channel.
-      CHECK(node->usage_reports == (node->channel.told_usage() ? 9 : 0));
-      first += node->channel.first_of_relays() ? 1 : 0;
-      CHECK((!node->channel.first_of_relays() || node->channel.told_usage()));
+      CHECK(node->usage_reports == (node->channel.receives_all_usage() ? 9 : 0));
+      first += node->channel.is_first_relay() ? 1 : 0;
+      CHECK((!node->channel.is_first_relay() || node->channel.receives_all_usage()));
     }
     CHECK(first == 1);
   }
@@ -240,7 +240,7 @@
   for (const std::uint32_t from_nodes : {100U, 2U}) {
     for (const std::size_t teller : {0U, 3U, 7U}) {
       ChannelFleet fleet(from_nodes);
-      fleet.nodes[teller]->channel.tell_crashes({{quarantine::CrashReport{}}});
+      fleet.nodes[teller]->channel.broadcast_crashes({{quarantine::CrashReport{}}});
       fleet.deliver();
       for (std::size_t i = 0; i != fleet.nodes.size(); ++i) {
         CHECK((i == teller || fleet.nodes[i]->crash_news > 0));
@@ -257,7 +257,7 @@
       for (const auto& node : fleet.nodes) {
         node->profile_news = 0;
       }
-      sender->channel.tell_profiles({});
+      sender->channel.broadcast_profiles({});
       fleet.deliver();
       for (const auto& node : fleet.nodes) {
         CHECK((node == sender || node->profile_news > 0));
--- a/src/gateway_node/tests/planned_stop_test.cc
+++ b/src/gateway_node/tests/planned_stop_test.cc
@@ -60,7 +60,7 @@
   const shared_store::StoreRevision before = fleet.nodes[3]->registered;
   fleet.register_node(*fleet.nodes[3]);
   fleet.advance(3s);
-  fleet.nodes[3]->news.tell_leaving(before);
+  fleet.nodes[3]->news.announce_leaving(before);
   fleet.advance(1s);
   CHECK(count_naming(fleet, fleet.nodes[3]->record.node) == 8);
 }
--- a/src/gateway_node/tests/profile_news_test.cc
+++ b/src/gateway_node/tests/profile_news_test.cc
@@ -28,10 +28,10 @@
   Profiles(LargeFleet& large, FleetNode& node)
       : node_(node),
         table(node.fleet, large.logger),
-        exchange(
-            {large.time, large.time, node.random, table}, node.record.node,
-            {.broadcast = [&node](const auto& news) { node.news.tell_profiles(news); },
-             .send_to_zone = [&node](const auto& told) { node.news.tell_zone_profiles(told); }}) {
+        exchange({large.time, large.time, node.random, table}, node.record.node,
+                 {.broadcast = [&node](const auto& news) { node.news.broadcast_profiles(news); },
+                  .send_to_zone =
+                      [&node](const auto& told) { node.news.broadcast_profiles_to_zone(told); }}) {
     gateway::Service service{.name = node.fleet.find(engine_id(0))->service};
     service.engine = gateway::EngineShape{.slots = 6, .tokens_per_event = kTokensPerEvent};
     gateway::Configuration configuration;
@@ -39,10 +39,10 @@
     configuration.services.push_back(service);
     node.fleet.apply(configuration);
     node.news.on_profiles(
-        {.take = [this](const auto& news) { exchange.receive(news); },
-         .take_to_relay = [this](const auto& news) { exchange.receive_for_relay(news); },
-         .take_relayed = [this](const auto& told) { exchange.receive(told); },
-         .tell_all = [this](const auto& send) { exchange.send_all(send); }});
+        {.receive = [this](const auto& news) { exchange.receive(news); },
+         .receive_for_relay = [this](const auto& news) { exchange.receive_for_relay(news); },
+         .receive_relayed = [this](const auto& told) { exchange.receive(told); },
+         .send_all = [this](const auto& send) { exchange.send_all(send); }});
     exchange.start();
   }
   double output(int engine, MonotonicTime now) const {
@@ -119,7 +119,7 @@
   fleet.advance(3s);
   fleet.profiles[40] = std::make_unique<Profiles>(fleet, *fleet.nodes[40]);
   REQUIRE(fleet.profiles[40]->output(0, fleet.time.now()) == 0);
-  fleet.nodes[40]->news.ask_for_parts();
+  fleet.nodes[40]->news.request_cached_parts();
   fleet.advance(50ms);
   CHECK(fleet.profiles[40]->output(0, fleet.time.now()) == doctest::Approx(2).epsilon(0.2));
 }
--- a/src/gateway_node/tests/view_exchange_test.cc
+++ b/src/gateway_node/tests/view_exchange_test.cc
@@ -22,7 +22,7 @@
 }
 
 struct ExchangeWorld {
-  operator ViewExchange::World() { return {loop, client, clock, random}; }
+  operator ViewExchange::Dependencies() { return {loop, client, clock, random}; }
 
   http::EventLoop loop;
   http::Client client{loop};
--- a/src/gateway_node/view_exchange.cc
+++ b/src/gateway_node/view_exchange.cc
@@ -70,12 +70,12 @@
 
 }  // namespace
 
-ViewExchange::ViewExchange(World world, Options options,
+ViewExchange::ViewExchange(Dependencies deps, Options options,
                            std::function<Transfer(AskedAfter)> own_view)
-    : world_(world),
+    : deps_(deps),
       options_(std::move(options)),
       own_view_(std::move(own_view)),
-      server_(world.loop, server_at(options_.listen)),
+      server_(deps.loop, server_at(options_.listen)),
       budget_(options_.link_mbps) {}
 
 Result<void, http::HttpError> ViewExchange::listen() {
@@ -90,7 +90,7 @@
 
 void ViewExchange::serve(const http::Request& request, http::ResponseWriter& response) {
   const KeptAnswer* answer = answer_for(read_after(request));
-  const MonotonicTime now = world_.clock.now();
+  const MonotonicTime now = deps_.clock.now();
   if (answer == nullptr || !budget_.admit(answer->bytes.size(), now)) {
     refuse(response);
     return;
@@ -103,7 +103,7 @@
 }
 
 const ViewExchange::KeptAnswer* ViewExchange::answer_for(AskedAfter after) {
-  const MonotonicTime now = world_.clock.now();
+  const MonotonicTime now = deps_.clock.now();
   std::erase_if(kept_, [&](const KeptAnswer& kept) { return now - kept.made > kKeepAnswer; });
   const auto found = std::find_if(kept_.begin(), kept_.end(),
                                   [&](const KeptAnswer& kept) { return kept.after == after; });
@@ -124,7 +124,7 @@
 void ViewExchange::refuse(http::ResponseWriter& response) {
   std::vector<Endpoint> others(served_.begin(), served_.end());
   while (others.size() > kOthersNamed) {
-    const std::size_t left_out = world_.random.below(others.size());
+    const std::size_t left_out = deps_.random.below(others.size());
     others.erase(others.begin() + static_cast<std::ptrdiff_t>(left_out));
   }
   response.respond(503, {{"content-type", kContentType}}, wire::encode(others));
@@ -154,7 +154,7 @@
   std::vector<Endpoint> candidates(sources_.begin(), sources_.end());
   candidates.insert(candidates.end(), options_.seeds.begin(), options_.seeds.end());
   if (!others.empty()) {
-    candidates.push_back(others[world_.random.below(others.size())]);
+    candidates.push_back(others[deps_.random.below(others.size())]);
   }
   std::erase(candidates, options_.listen);
   if (candidates.empty()) {
@@ -174,7 +174,7 @@
     for (const Endpoint& other : first.others) {
       note_source(other);
     }
-    const Endpoint& other = first.others[world_.random.below(first.others.size())];
+    const Endpoint& other = first.others[deps_.random.below(first.others.size())];
     ask({other, request.after},
         [done = std::move(done)](Outcome second) { done(std::move(second.transfer)); });
   });
@@ -193,7 +193,7 @@
   if (!options_.listen.empty()) {
     request.headers.push_back({kAskerHeader, options_.listen.value()});
   }
-  world_.client.fetch(std::move(request), [done = std::move(done)](auto result) {
+  deps_.client.fetch(std::move(request), [done = std::move(done)](auto result) {
     if (!result) {
       done({});
     } else if (result.value().head.status == 200) {
--- a/src/gateway_node/view_exchange.h
+++ b/src/gateway_node/view_exchange.h
@@ -28,7 +28,7 @@
   using Transfer = std::optional<discovery::ViewTransfer>;
   using AskedAfter = std::optional<shared_store::StoreRevision>;
 
-  struct World {
+  struct Dependencies {
     http::EventLoop& loop;
     http::Client& client;
     const Clock& clock;
@@ -42,7 +42,7 @@
   };
 
   /// `own_view` is called for other nodes' requests: what has changed since a revision, or all.
-  ViewExchange(World world, Options options, std::function<Transfer(AskedAfter)> own_view);
+  ViewExchange(Dependencies deps, Options options, std::function<Transfer(AskedAfter)> own_view);
 
   Result<void, http::HttpError> listen();
   /// The address bound, with its real port.
@@ -81,7 +81,7 @@
   void note_served(const Endpoint& asker);
   void ask(const discovery::ViewRequest& request, std::function<void(Outcome)> done);
 
-  World world_;
+  Dependencies deps_;
   Options options_;
   std::function<Transfer(AskedAfter)> own_view_;
   http::Server server_;
