--- a/src/gateway_node/adapter.h
+++ b/src/gateway_node/adapter.h
@@ -1,4 +1,4 @@
-// What ties a gateway node to the platform it runs on.
+// Connects a gateway node to the platform it runs on.
 #pragma once
 
 #include <functional>
@@ -14,18 +14,19 @@
 
 namespace ochrespring::gateway_node {
 
-/// References outlive the node.
+/// The interfaces of the platform that a gateway node uses. The referenced objects must outlive the
+/// node.
 struct Adapter {
   const gateway::HeaderNames& names;
   const gateway::EngineCalls& engines;
   const discovery::FleetCodec& codec;
   shared_store::SharedStore& store;
-  /// Null: nobody takes reports of usage, or orders of servers.
+  /// Null if no usage is reported, or no servers are ordered.
   usage::UsageSink* usage_sink = nullptr;
   fleet_control::ServerProvider* server_provider = nullptr;
-  /// Adds the page that tells whether the node is ready.
+  /// Adds the page that reports whether the node is ready.
   std::function<void(http::Server&, std::function<bool()> ready)> add_ready_page;
-  /// Adds the page that tells callers which nodes to use.
+  /// Adds the page that lists the nodes that callers may use.
   std::function<void(http::Server&, const discovery::NodeDirectory&)> add_directory_page;
 };
 
--- a/src/gateway_node/gateway_node.cc
+++ b/src/gateway_node/gateway_node.cc
@@ -12,14 +12,15 @@
 using std::chrono::milliseconds;
 
 constexpr std::string_view kComponent = "node";
-/// Kept back from the grace, so that the process ends by itself.
+/// Subtracted from the grace period, so that the process ends before it is killed.
 constexpr Duration kGraceMargin = milliseconds(500);
-/// A server in our own network that does not accept a connection for so long says nothing.
+/// A back end in the same network that accepts no connection for this long counts as not answering.
 constexpr Duration kProbeTimeout = milliseconds(400);
-/// Part of its lease after which a node's registration is renewed: two more tries fit into the
-/// rest.
-constexpr double kRenewalPart = 0.4;
-/// The server closes later than callers do, so that a request seldom crosses the close.
+/// Fraction of its lease after which a node's registration is renewed, so that two retries fit into
+/// the rest.
+constexpr double kRenewalFraction = 0.4;
+/// Added to callers' idle timeout, so that the server closes connections later than callers do and
+/// rarely while a request is in transit.
 constexpr Duration kIdleMargin = std::chrono::seconds(2);
 
 http::ServerSettings server_at(const Endpoint& endpoint) {
@@ -28,13 +29,13 @@
   return settings;
 }
 
-/// The seeds, which all nodes ask first, list the store when they start; the others ask them.
+/// The seeds, which all nodes ask first, list the store when they start. The other nodes ask them.
 discovery::FleetWatcherSettings watcher_settings(const Settings& settings) {
-  auto made = discovery::settings_for_staleness_bound(
+  auto watcher = discovery::settings_for_staleness_bound(
       std::min(settings.drain_bound, settings.configuration_bound));
-  made.lists_immediately = std::find(settings.seeds.begin(), settings.seeds.end(),
-                                     settings.view_listen) != settings.seeds.end();
-  return made;
+  watcher.lists_immediately = std::find(settings.seeds.begin(), settings.seeds.end(),
+                                        settings.view_listen) != settings.seeds.end();
+  return watcher;
 }
 
 }  // namespace
@@ -61,7 +62,7 @@
       registration_(loop, adapter_.store, logger, random,
                     {.key = adapter_.codec.layout().node_prefix + settings_.node.value(),
                      .time_to_live = settings_.node_lease,
-                     .period = from_seconds(kRenewalPart * to_seconds(settings_.node_lease))},
+                     .period = from_seconds(kRenewalFraction * to_seconds(settings_.node_lease))},
                     self_),
       views_({loop, client, clock, random},
              {.listen = settings_.view_listen,
@@ -98,26 +99,27 @@
                [this](const Endpoint& address, std::function<void(http::ProbeResult)> done) {
                  client_.probe(address, kProbeTimeout, std::move(done));
                },
-           .broadcast = [this](const auto& news) { peer_exchange_.broadcast_crashes(news); },
+           .broadcast = [this](const auto& batch) { peer_exchange_.broadcast_crashes(batch); },
            .broadcast_to_zone =
-               [this](const auto& news) { peer_exchange_.broadcast_crashes_to_zone(news); },
+               [this](const auto& batch) { peer_exchange_.broadcast_crashes_to_zone(batch); },
            .request_horizon = [this] { peer_exchange_.request_horizon(); },
            .node_count = [this] { return nodes_.count(); }}),
       rate_limiter_(
           {clock, loop, random, logger, fleet_, nodes_},
-          {.broadcast = [this](const auto& news) { peer_exchange_.broadcast_limits(news); },
-           .send = [this](const Endpoint& to, const auto& news) { peer_exchange_.send(to, news); },
+          {.broadcast = [this](const auto& report) { peer_exchange_.broadcast_limits(report); },
+           .send = [this](const Endpoint& to,
+                          const auto& report) { peer_exchange_.send(to, report); },
            .send_request = [this](const Endpoint& to,
-                                  const auto& ask) { peer_exchange_.send(to, ask); },
+                                  const auto& request) { peer_exchange_.send(to, request); },
            .send_reply = [this](const Endpoint& to,
-                                const auto& told) { peer_exchange_.send(to, told); }}),
+                                const auto& reply) { peer_exchange_.send(to, reply); }}),
       admission_({clock, random, logger, fleet_, loads_, rate_limiter_},
                  [this](const auto& notice) { peer_exchange_.broadcast_notice(notice); }),
       queue_({clock, loop, random, logger, [this] { return nodes_.conservative_count(); }},
              settings_.queue),
       profile_exchange_(
           {clock, loop, random, profiles_}, settings_.node,
-          {.broadcast = [this](const auto& news) { peer_exchange_.broadcast_profiles(news); },
+          {.broadcast = [this](const auto& report) { peer_exchange_.broadcast_profiles(report); },
            .send_to_zone =
                [this](const auto& relayed) {
                  peer_exchange_.broadcast_profiles_to_zone(relayed);
@@ -151,9 +153,10 @@
       callers_(loop, server_at(settings_.listen)),
       ready_(loop, server_at(settings_.ready_listen)),
       directory_(loop, server_at(settings_.directory_listen)),
-      stop_(loop, {[this] { leave(); }, [this] { callers_.stop_accepting(); }, [this] { finish(); },
-                   [this] { return callers_.held(); },
-                   [this] { gateway_.set_shutdown_time(ends_at_); }, [this] { end_requests(); }}) {}
+      stop_(loop,
+            {[this] { leave(); }, [this] { callers_.stop_accepting(); }, [this] { finish(); },
+             [this] { return callers_.held(); },
+             [this] { gateway_.set_shutdown_time(shutdown_time_); }, [this] { end_requests(); }}) {}
 
 Result<void, http::HttpError> GatewayNode::start() {
   callers_.route("/",
@@ -199,7 +202,7 @@
     learn_cached_parts();
     nodes_.readmit_deferred();
   });
-  watcher_.on_new_era([this] { write_again(); });
+  watcher_.on_new_era([this] { rewrite_store_entries(); });
   gateway_.on_idle([this] { stop_.on_idle(); });
   peer_exchange_.on_usage(
       [this](const usage::UsageReport& report) { duties_.receive_usage(report); });
@@ -226,8 +229,8 @@
   return addresses;
 }
 
-/// The store has come back from an older copy, without what was written there since.
-void GatewayNode::write_again() {
+/// Called when the store was restored from an older copy and lacks later writes.
+void GatewayNode::rewrite_store_entries() {
   registration_.reregister();
   duties_.on_store_rolled_back();
   quarantine_.on_store_rolled_back();
@@ -240,10 +243,10 @@
     quarantine_.apply_store_change(key, value);
   });
   peer_exchange_.on_crashes(
-      {.receive = [this](const auto& news) { quarantine_.receive(news); },
-       .receive_for_relay = [this](const auto& news) { quarantine_.receive_for_relay(news); },
+      {.receive = [this](const auto& report) { quarantine_.receive(report); },
+       .receive_for_relay = [this](const auto& report) { quarantine_.receive_for_relay(report); },
        .send_all = [this](const auto& send) { quarantine_.send_all(send); },
-       .receive_horizon = [this](const auto& told) { quarantine_.receive(told); },
+       .receive_horizon = [this](const auto& report) { quarantine_.receive(report); },
        .horizon = [this] { return quarantine_.horizon(); }});
   watcher_.on_first_listing([this] { quarantine_.on_first_listing(); });
   quarantine_.start();
@@ -251,7 +254,7 @@
 
 void GatewayNode::connect_admission() {
   peer_exchange_.on_limits(
-      {.receive = [this](const auto& news) { rate_limiter_.receive(news); },
+      {.receive = [this](const auto& report) { rate_limiter_.receive(report); },
        .receive_request = [this](const auto& request) { rate_limiter_.receive(request); },
        .receive_reply = [this](const auto& reply) { rate_limiter_.receive(reply); },
        .send_all = [this](const auto& send) { rate_limiter_.send_all(send); }});
@@ -261,8 +264,9 @@
 
 void GatewayNode::connect_profiles() {
   peer_exchange_.on_profiles(
-      {.receive = [this](const auto& news) { profile_exchange_.receive(news); },
-       .receive_for_relay = [this](const auto& news) { profile_exchange_.receive_for_relay(news); },
+      {.receive = [this](const auto& report) { profile_exchange_.receive(report); },
+       .receive_for_relay =
+           [this](const auto& report) { profile_exchange_.receive_for_relay(report); },
        .receive_relayed = [this](const auto& relayed) { profile_exchange_.receive(relayed); },
        .send_all = [this](const auto& send) { profile_exchange_.send_all(send); }});
   profile_exchange_.start();
@@ -278,7 +282,7 @@
 }
 
 void GatewayNode::learn_cached_parts() {
-  if (asked_peers_ && survey_.begun()) {
+  if (requested_cached_parts_ && survey_.begun()) {
     return;
   }
   std::vector<NodeId> nodes{settings_.node};
@@ -286,7 +290,7 @@
     nodes.push_back(node);
   }
   survey_.begin(settings_.node, nodes);
-  if (!std::exchange(asked_peers_, true)) {
+  if (!std::exchange(requested_cached_parts_, true)) {
     peer_exchange_.request_cached_parts();
   }
 }
@@ -295,14 +299,14 @@
   const StopTimes times =
       StopTimes::within(std::max<Duration>(settings_.stop_grace - kGraceMargin, kGraceMargin));
   if (!stop_.begun()) {
-    ends_at_ = clock_.now() + times.grace;
+    shutdown_time_ = clock_.now() + times.grace;
   }
   stop_.begin(times);
 }
 
-/// All requests by what holds them. `held` counts those, too, that are partly in or whose answer is
-/// partly out.
-std::vector<logging::Field> GatewayNode::held_fields() const {
+/// Returns log fields with the numbers of requests by what they wait for. `held` also counts
+/// requests that are partly received and those whose answer is partly sent.
+std::vector<logging::Field> GatewayNode::request_count_fields() const {
   const gateway::HeldRequests requests = gateway_.held();
   return {{"held", static_cast<std::uint64_t>(callers_.held())},
           {"at_configuration", static_cast<std::uint64_t>(requests.at_configuration)},
@@ -311,10 +315,11 @@
 }
 
 void GatewayNode::leave() {
-  logger_.write({logging::Level::kInfo, kComponent, "stop requested", held_fields()});
+  logger_.write({logging::Level::kInfo, kComponent, "stop requested", request_count_fields()});
   duties_.leave();
   nodes_.leave();
-  // The answer to a write of its own may have been lost: what others tell may be newer.
+  // The answer to this node's own write may have been lost, so other nodes may know a newer
+  // revision.
   peer_exchange_.announce_leaving(
       [this] { return std::max(registration_.registered(), nodes_.own_registration_revision()); });
   registration_.leave();
@@ -322,15 +327,16 @@
   queue_.stop();
 }
 
-/// The grace is over.
+/// Called when the grace period is over.
 void GatewayNode::end_requests() {
-  logger_.write({logging::Level::kWarning, kComponent, "requests outlast the stop", held_fields()});
+  logger_.write({logging::Level::kWarning, kComponent,
+                 "ending requests at the end of the grace period", request_count_fields()});
   gateway_.finish_all();
 }
 
 void GatewayNode::finish() {
   duties_.finish();
-  logger_.write({logging::Level::kInfo, kComponent, "stopped", held_fields()});
+  logger_.write({logging::Level::kInfo, kComponent, "stopped", request_count_fields()});
   loop_.stop();
 }
 
@@ -343,8 +349,8 @@
   logger_.write({logging::Level::kInfo, kComponent, "settings reloaded", {}});
 }
 
-/// Hands over the body of a good answer; anything else is left out. What the engine says of itself
-/// counts as on any answer.
+/// Calls `done` with the body of a successful answer, and not at all after any other result. The
+/// engine's statement in the answer's headers is applied as for any other answer.
 void GatewayNode::fetch_from_engine(const gateway::BackendId& engine, http::ClientRequest request,
                                     std::function<void(std::string body)> done) {
   const MonotonicTime now = clock_.now();
@@ -384,9 +390,9 @@
   queue_.add_metrics(sink);
   profiles_.add_metrics(sink);
   profile_exchange_.add_metrics(sink);
-  sink.counter({"backend_connections", "Connections opened"},
+  sink.counter({"backend_connections", "Connections opened to back ends"},
                static_cast<double>(client_.statistics().connections_opened));
-  sink.gauge({"requests_running", "Requests running"}, static_cast<double>(gateway_.running()));
+  sink.gauge({"requests_running", "Requests in progress"}, static_cast<double>(gateway_.running()));
   sink.gauge({"backends", "Back ends known"}, static_cast<double>(fleet_.backends().size()));
   sink.gauge({"nodes", "Nodes known"}, static_cast<double>(nodes_.count()));
 }
--- a/src/gateway_node/gateway_node.h
+++ b/src/gateway_node/gateway_node.h
@@ -1,4 +1,4 @@
-// One node: its listeners, its view of the fleet, its gateway, and its planned stop.
+// A gateway node: its listeners, its view of the fleet, its gateway and its planned stop.
 #pragma once
 
 #include <memory>
@@ -32,37 +32,40 @@
 
 namespace ochrespring::gateway_node {
 
-/// Everything runs on one loop; only the signal handlers' post() comes from another thread.
+/// Runs the parts of one gateway node and connects them to each other. Not thread-safe; used on one
+/// event loop, to which signal handlers post their calls.
 class GatewayNode {
  public:
   GatewayNode(http::EventLoop& loop, http::Client& client, const Clock& clock, RandomSource& random,
               logging::Logger& logger, Settings settings, Adapter adapter);
 
-  /// Binds all addresses and starts to watch the store.
+  /// Binds all addresses and starts watching the store. Returns an error if an address cannot be
+  /// bound.
   Result<void, http::HttpError> start();
-  /// Stop signal: leaves the directory, announces the close of connections, and ends the loop when
-  /// callers have had time to notice and the last request has ended, or when the grace is over.
+  /// Handles the stop signal: leaves the directory, announces the close of connections, and stops
+  /// the event loop once callers have had time to notice and the last request has ended, or when
+  /// the grace period is over.
   void stop();
-  /// Reload signal, or the settings file has changed.
+  /// Applies changed settings, after a reload signal or a change of the settings file.
   void reload(const Settings& settings);
-  /// Where callers' requests are taken, with its real port; once it has started.
+  /// Returns the bound address for callers' requests. Call only after start().
   Endpoint caller_address() const { return callers_.bound(); }
 
  private:
   Result<void, http::HttpError> listen_to_peers();
-  void write_again();
+  void rewrite_store_entries();
   void connect_quarantine();
   void connect_admission();
   void connect_profiles();
-  /// Of the nodes known so far.
+  /// Returns the view addresses of the nodes known so far.
   std::vector<Endpoint> known_view_addresses() const;
-  /// Once, when this node first knows the fleet: learns what engines keep.
+  /// Learns which prompt parts engines have cached, once the fleet is first known.
   void learn_cached_parts();
   void add_metrics(metrics::SampleSink& sink) const;
   void fetch_from_engine(const gateway::BackendId& engine, http::ClientRequest request,
                          std::function<void(std::string body)> done);
   void apply_limits();
-  std::vector<logging::Field> held_fields() const;
+  std::vector<logging::Field> request_count_fields() const;
   void leave();
   void end_requests();
   void finish();
@@ -95,14 +98,14 @@
   admission_queue::AdmissionQueue queue_;
   engine_profiles::ProfileExchange profile_exchange_;
   gateway::CacheSurvey survey_;
-  bool asked_peers_ = false;
+  bool requested_cached_parts_ = false;
   gateway::Gateway gateway_;
   http::Server callers_;
   http::Server ready_;
   http::Server directory_;
   std::unique_ptr<http::Server> metrics_server_;
   metrics::MetricsRegistry metrics_;
-  MonotonicTime ends_at_{};  ///< Once a stop has begun.
+  MonotonicTime shutdown_time_{};  ///< Set when a stop begins.
   StopSequence stop_;
 };
 
--- a/src/gateway_node/node_duties.cc
+++ b/src/gateway_node/node_duties.cc
@@ -6,11 +6,11 @@
 
 namespace {
 
-/// All nodes may start at once, and register within this time: what the store said before does not
-/// tell who else there is.
-constexpr Duration kLearnsFleet = std::chrono::milliseconds(1000);
-/// A view of the fleet older than this tells nothing of who else there is.
-constexpr Duration kOldestView = std::chrono::seconds(5);
+/// All nodes may start at the same time and register within this time. A view from before then may
+/// lack nodes.
+constexpr Duration kRegistrationTime = std::chrono::milliseconds(1000);
+/// A view of the fleet older than this says nothing about which other nodes are running.
+constexpr Duration kMaxViewAge = std::chrono::seconds(5);
 
 }  // namespace
 
@@ -27,8 +27,8 @@
              {.to_claim = [this, first = peers.eligibility.to_claim] { return may_claim(first); },
               .to_hold = peers.eligibility.to_hold}) {
   if (world.usage_sink != nullptr) {
-    wall_.emplace(world.clock, world.timers);
-    meter_.emplace(*wall_, world.timers,
+    wall_clock_.emplace(world.clock, world.timers);
+    meter_.emplace(*wall_clock_, world.timers,
                    usage::UsageMeterOptions{.node = options.node,
                                             .life = world.random.next(),
                                             .windows = options.usage_windows,
@@ -37,8 +37,8 @@
                      tally_.take(report);
                      send_usage(report);
                    });
-    reporter_.emplace(usage::UsageReporter::World{world.timers, world.store, world.logger, *wall_,
-                                                  lease_, tally_, *world.usage_sink},
+    reporter_.emplace(usage::UsageReporter::World{world.timers, world.store, world.logger,
+                                                  *wall_clock_, lease_, tally_, *world.usage_sink},
                       usage::UsageReporterOptions{.key_prefix = options.key_prefix + "usage/",
                                                   .windows = options.usage_windows,
                                                   .due = options.usage_due});
@@ -78,7 +78,7 @@
   const MonotonicTime now = deps_.clock.now();
   const auto current_at = deps_.fleet.current_at();
   const bool knows_fleet =
-      current_at && *current_at - started_ >= kLearnsFleet && now - *current_at < kOldestView;
+      current_at && *current_at - started_ >= kRegistrationTime && now - *current_at < kMaxViewAge;
   return knows_fleet && first_choice();
 }
 
@@ -107,27 +107,28 @@
 }
 
 void NodeDuties::add_metrics(metrics::SampleSink& sink) const {
-  sink.gauge({"duties_held", "Whether this node may act for all"}, lease_.fence() ? 1 : 0);
-  sink.counter({"duties_gained", "Times this node began to hold the duties"},
+  sink.gauge({"duties_held", "Whether this node may perform the duties of the fleet"},
+             lease_.fence() ? 1 : 0);
+  sink.counter({"duties_gained", "Times this node acquired the lease of the duties"},
                static_cast<double>(lease_.times_gained()));
   if (reporter_) {
     const usage::UsageReporterStatistics& counts = reporter_->statistics();
-    sink.counter({"usage_windows_reported", "Windows of usage reported"},
+    sink.counter({"usage_windows_reported", "Usage windows reported"},
                  static_cast<double>(counts.reported));
-    sink.counter({"usage_windows_missed", "Windows of usage not reported in time"},
+    sink.counter({"usage_windows_missed", "Usage windows not reported in time"},
                  static_cast<double>(counts.missed));
-    sink.counter({"usage_reports_refused", "Reports of usage refused for a higher fence"},
+    sink.counter({"usage_reports_refused", "Usage reports refused because of a higher fence"},
                  static_cast<double>(counts.refused));
   }
   if (servers_) {
     const fleet_control::ServerControllerStatistics& counts = servers_->statistics();
-    sink.counter({"server_orders", "Orders of servers"}, static_cast<double>(counts.orders));
-    sink.counter({"server_orders_failed", "Of these, without an answer or an effect"},
+    sink.counter({"server_orders", "Server orders sent"}, static_cast<double>(counts.orders));
+    sink.counter({"server_orders_failed", "Server orders without an answer or an effect"},
                  static_cast<double>(counts.failed));
-    sink.counter({"server_orders_refused", "Of these, refused"},
+    sink.counter({"server_orders_refused", "Server orders refused"},
                  static_cast<double>(counts.refused));
     for (const auto& [service, needed] : servers_->needed()) {
-      sink.gauge({"servers_needed", "Servers that a service needs"}, needed,
+      sink.gauge({"servers_needed", "Servers needed by the service"}, needed,
                  {{"service", service.value()}});
     }
   }
--- a/src/gateway_node/node_duties.h
+++ b/src/gateway_node/node_duties.h
@@ -1,4 +1,4 @@
-// What one node of the fleet does for all: its lease, the usage it reports, the servers it orders.
+// The duties that one node performs for the fleet: reporting usage and ordering servers.
 #pragma once
 
 #include <cstdint>
@@ -20,7 +20,7 @@
 namespace ochrespring::gateway_node {
 
 struct NodeDutiesOptions {
-  std::string key_prefix;  ///< Of the store.
+  std::string key_prefix;  ///< Of the duties' keys in the store.
   NodeId node;
   Duration lease{std::chrono::milliseconds(3000)};
   usage::WindowLength usage_windows;
@@ -28,11 +28,12 @@
   fleet_control::ServerPlanOptions server_plan{};
 };
 
-/// Every node counts its own usage and is ready to take the duties over. Does no input or output
-/// itself; one loop.
+/// Counts the usage of this node, and performs the duties while this node holds their lease. Every
+/// node is ready to take over. Performs no input or output itself. Not thread-safe; used on one
+/// event loop.
 class NodeDuties {
  public:
-  /// References outlive it.
+  /// The referenced objects must outlive the NodeDuties.
   struct Dependencies {
     const Clock& clock;
     TimerService& timers;
@@ -44,32 +45,36 @@
     fleet_control::ServerProvider* server_provider;  ///< Null: no servers are ordered.
   };
   struct Peers {
-    duties::DutyLease::Fitness eligibility;  ///< By what this node knows of the others.
-    usage::UsageMeter::Send send_usage;  ///< Tells this node's usage to those that may report it.
+    duties::DutyLease::Fitness eligibility;  ///< According to this node's directory.
+    usage::UsageMeter::Send send_usage;      ///< To the nodes that may hold the duties.
   };
 
   NodeDuties(Dependencies deps, const NodeDutiesOptions& options, const Peers& peers);
 
   void start();
-  /// A request of this node has begun to run.
+  /// Counts a request that this node started running `ago`.
   void note_run(const TenantName& tenant, Duration ago);
-  /// Another node's usage.
+  /// Receives the usage of another node.
   void receive_usage(const usage::UsageReport& report) { tally_.take(report); }
-  /// This node takes no more requests.
+  /// Called when this node accepts no more requests. Sends the remaining usage and gives the lease
+  /// up.
   void leave();
-  /// The store has come back from an older copy.
+  /// Called when the store was restored from an older copy.
   void on_store_rolled_back();
-  /// The process is about to end.
+  /// Called before the process ends. Sends the remaining usage.
   void finish() { flush_usage(); }
   void add_metrics(metrics::SampleSink& sink) const;
 
  private:
+  /// Returns whether this node's view is recent and was current after all nodes had time to
+  /// register, and `first_choice` returns true.
   bool may_claim(const std::function<bool()>& first_choice) const;
   void flush_usage();
 
   Dependencies deps_;
   MonotonicTime started_;
-  std::optional<usage::WallClockEstimate> wall_;  ///< With the meter: it samples all the time.
+  std::optional<usage::WallClockEstimate>
+      wall_clock_;  ///< Set with the meter; samples permanently.
   usage::UsageTally tally_;
   std::optional<usage::UsageMeter> meter_;
   duties::DutyLease lease_;
--- a/src/gateway_node/node_metrics.cc
+++ b/src/gateway_node/node_metrics.cc
@@ -11,89 +11,95 @@
 
 using gateway::GatewayStatistics;
 constexpr metrics::CounterRow<GatewayStatistics> kGatewayCounters[] = {
-    {"requests", "Requests taken", &GatewayStatistics::requests},
-    {"requests_answered", "Ended with a back end's whole answer", &GatewayStatistics::answered},
-    {"requests_refused", "Ended as not run", &GatewayStatistics::refused},
-    {"requests_unknown", "Ended without knowing whether they ran", &GatewayStatistics::unknown},
-    {"streams_broken", "Streams cut after their head", &GatewayStatistics::broken},
-    {"callers_gone", "Requests whose caller went away", &GatewayStatistics::caller_gone},
+    {"requests", "Requests received", &GatewayStatistics::requests},
+    {"requests_answered", "Requests ended with a back end's complete answer",
+     &GatewayStatistics::answered},
+    {"requests_refused", "Requests ended as not run", &GatewayStatistics::refused},
+    {"requests_unknown", "Requests ended without knowing whether they ran",
+     &GatewayStatistics::unknown},
+    {"streams_broken", "Streams aborted after their head was sent", &GatewayStatistics::broken},
+    {"callers_gone", "Requests whose caller disconnected", &GatewayStatistics::caller_gone},
     {"requests_without_route", "Requests without a route", &GatewayStatistics::no_route},
-    {"requests_with_unknown_key", "Requests without a key that is known",
+    {"requests_with_unknown_key", "Requests without a known API key",
      &GatewayStatistics::unknown_key},
-    {"attempts", "Attempts at back ends", &GatewayStatistics::attempts},
-    {"repeats", "Attempts from the retry budget", &GatewayStatistics::retries},
-    {"repeats_denied", "Attempts that the retry budget did not allow",
-     &GatewayStatistics::budget_denied},
-    {"cache_fetches", "Attempts told to fetch cached parts", &GatewayStatistics::cache_fetches},
-    {"requests_quarantined", "Ended as requests under which back ends have ended",
+    {"attempts", "Attempts sent to back ends", &GatewayStatistics::attempts},
+    {"repeats", "Retries charged to the retry budget", &GatewayStatistics::retries},
+    {"repeats_denied", "Retries denied by the retry budget", &GatewayStatistics::budget_denied},
+    {"cache_fetches", "Attempts that fetch shared prompt parts from a cache",
+     &GatewayStatistics::cache_fetches},
+    {"requests_quarantined", "Requests ended by their quarantine after crashes of back ends",
      &GatewayStatistics::quarantined},
-    {"requests_rate_limited", "Ended since back ends had as much as the rates they had named",
+    {"requests_rate_limited", "Requests ended because the rate limits of back ends were used up",
      &GatewayStatistics::rate_limited},
-    {"requests_backing_off", "Ended since back ends had asked this node to back off",
+    {"requests_backing_off", "Requests ended because back ends had asked this node to back off",
      &GatewayStatistics::backing_off},
-    {"sends_withdrawn", "Sends kept back since the back end asked for nothing more meanwhile",
+    {"sends_withdrawn", "Sends cancelled by a back-off of the back end before connecting",
      &GatewayStatistics::withdrawn},
-    {"streams_resumed", "Streams taken up at another back end", &GatewayStatistics::resumed},
+    {"streams_resumed", "Started streams resumed at another back end", &GatewayStatistics::resumed},
     {"streams_replicated", "Runs sent with a backup engine",
      &GatewayStatistics::streams_replicated},
-    {"streams_continued", "Broken streams sent on to their backup engine",
+    {"streams_continued", "Failed streams resumed at their backup engine",
      &GatewayStatistics::streams_continued},
-    {"streams_continued_whole", "Continued streams answered to their end by the backup engine",
+    {"streams_continued_whole", "Resumed streams completed by their backup engine",
      &GatewayStatistics::continued_whole},
-    {"stream_copies_missing", "Continued streams turned away by the backup engine",
+    {"stream_copies_missing", "Resumed streams refused by their backup engine",
      &GatewayStatistics::copies_missing},
-    {"streams_not_continued", "Broken streams whose backup engine could not be used",
+    {"streams_not_continued", "Failed streams whose backup engine could not be used",
      &GatewayStatistics::not_continued},
 };
 
 using discovery::FleetWatcherStatistics;
 constexpr metrics::CounterRow<FleetWatcherStatistics> kWatcherCounters[] = {
-    {"store_looks", "Looks at the store", &FleetWatcherStatistics::polls},
-    {"store_looks_failed", "Looks that failed", &FleetWatcherStatistics::failed_polls},
-    {"view_listings", "Listings of the whole store", &FleetWatcherStatistics::listings},
-    {"view_updates_taken", "Looks of other nodes taken over",
+    {"store_looks", "Polls of the store", &FleetWatcherStatistics::polls},
+    {"store_looks_failed", "Failed polls of the store", &FleetWatcherStatistics::failed_polls},
+    {"view_listings", "Full listings of the store", &FleetWatcherStatistics::listings},
+    {"view_updates_taken", "Updates of other nodes that were applied",
      &FleetWatcherStatistics::updates_taken},
-    {"view_updates_passed", "Looks of other nodes that could not be joined",
+    {"view_updates_passed",
+     "Updates of other nodes skipped because they began after the revision seen here",
      &FleetWatcherStatistics::updates_skipped},
-    {"view_snapshots_taken", "Views taken over whole from another node",
+    {"view_snapshots_taken", "Complete views received from another node",
      &FleetWatcherStatistics::snapshots_taken},
     {"view_changes_fetched", "Changes fetched from another node",
      &FleetWatcherStatistics::deltas_taken},
-    {"store_histories_gone", "Looks that the store had forgotten the history of",
+    {"store_histories_gone", "Polls for which the store no longer kept the history",
      &FleetWatcherStatistics::histories_unavailable},
-    {"store_listings_passed", "Listings older than the view, by their revision",
+    {"store_listings_passed",
+     "Full listings skipped because their revision was older than the view",
      &FleetWatcherStatistics::listings_skipped},
-    {"store_eras_begun", "Times the store was found to have come back from an older copy",
+    {"store_eras_begun", "Store eras begun by a restore from an older copy",
      &FleetWatcherStatistics::eras_begun},
-    {"store_lives_found", "Looks that found another change in the store than was known there",
+    {"store_lives_found", "Polls that found another change than known at the same revision",
      &FleetWatcherStatistics::unannounced_eras},
-    {"view_updates_outdated", "Looks of other nodes from before the store came back",
+    {"view_updates_outdated", "Updates of other nodes from a store era that has ended",
      &FleetWatcherStatistics::updates_outdated},
-    {"view_updates_differed", "Looks of other nodes that showed a listing to be needed",
+    {"view_updates_differed", "Updates of other nodes that showed that a full listing was needed",
      &FleetWatcherStatistics::updates_mismatched},
 };
 
 void add_histogram(const gateway::LatencyHistogram& latency, metrics::SampleSink& sink) {
   for (std::size_t i = 0; i != gateway::LatencyHistogram::kBounds.size(); ++i) {
-    sink.counter({"first_byte_seconds_bucket", "Time to the first byte of an answer"},
-                 static_cast<double>(latency.counts()[i]),
-                 {{"le", std::to_string(gateway::LatencyHistogram::kBounds[i])}});
+    sink.counter(
+        {"first_byte_seconds_bucket", "Answers whose first byte took at most `le` seconds"},
+        static_cast<double>(latency.counts()[i]),
+        {{"le", std::to_string(gateway::LatencyHistogram::kBounds[i])}});
   }
-  sink.counter({"first_byte_seconds_count", "Answers counted"},
+  sink.counter({"first_byte_seconds_count", "Answers whose time to the first byte was measured"},
                static_cast<double>(latency.count()));
-  sink.counter({"first_byte_seconds_sum", "Seconds to the first byte, added up"}, latency.sum());
+  sink.counter({"first_byte_seconds_sum", "Total time to the first byte of answers, in seconds"},
+               latency.sum());
 }
 
 }  // namespace
 
-void add_gateway_metrics(const GatewayStatistics& counts, metrics::SampleSink& sink) {
-  metrics::add_counters(kGatewayCounters, counts, sink);
-  add_histogram(counts.first_byte, sink);
+void add_gateway_metrics(const GatewayStatistics& statistics, metrics::SampleSink& sink) {
+  metrics::add_counters(kGatewayCounters, statistics, sink);
+  add_histogram(statistics.first_byte, sink);
 }
 
 void add_watcher_metrics(const discovery::FleetWatcher& watcher, metrics::SampleSink& sink) {
   metrics::add_counters(kWatcherCounters, watcher.statistics(), sink);
-  sink.counter({"store_values_rejected", "Values not understood"},
+  sink.counter({"store_values_rejected", "Values from the store that could not be parsed"},
                static_cast<double>(watcher.rejected_values()));
 }
 
--- a/src/gateway_node/node_metrics.h
+++ b/src/gateway_node/node_metrics.h
@@ -1,4 +1,4 @@
-// A node's counters as metrics.
+// Exports the counters of a node as metrics.
 #pragma once
 
 #include "discovery/fleet_watcher.h"
@@ -7,7 +7,7 @@
 
 namespace ochrespring::gateway_node {
 
-void add_gateway_metrics(const gateway::GatewayStatistics& counts, metrics::SampleSink& sink);
+void add_gateway_metrics(const gateway::GatewayStatistics& statistics, metrics::SampleSink& sink);
 void add_watcher_metrics(const discovery::FleetWatcher& watcher, metrics::SampleSink& sink);
 
 }  // namespace ochrespring::gateway_node
--- a/src/gateway_node/peer_channel.cc
+++ b/src/gateway_node/peer_channel.cc
@@ -10,13 +10,13 @@
 
 namespace {
 
-/// A word that a node leaves and that has waited longer than this may be of a process before the
-/// one that runs there now. One that still leaves tells it again sooner.
-constexpr Duration kLateLeaving = std::chrono::milliseconds(500);
+/// A leaving notice that was queued longer than this may be from a process that has been replaced
+/// since. A node that is still leaving repeats the notice sooner.
+constexpr Duration kMaxLeavingDelay = std::chrono::milliseconds(500);
 
-/// How attempts ended is counted by whoever hears it, and both relays of a zone pass on what they
-/// are told: only one of them is told of the ends, by turns.
-peer_load::WorkReport without_ends(peer_load::WorkReport report) {
+/// Removes the ended attempts from a report. Every receiver counts them, and both relays of a zone
+/// pass on what they receive, so they are sent to only one of the relays, in turns.
+peer_load::WorkReport without_attempt_ends(peer_load::WorkReport report) {
   for (peer_load::EngineWork& work : report.engines) {
     work.ended = 0;
     work.failed = 0;
@@ -27,13 +27,14 @@
 }  // namespace
 
 void PeerChannel::receive(std::string_view bytes, Duration waited) {
-  // What cannot be decoded is no message of a node: it is left alone, and costs no log line each.
+  // Datagrams that cannot be decoded are not from a node. They are ignored, and not logged one by
+  // one.
   auto message = wire::decode<PeerMessage>(bytes);
   if (!message) {
     return;
   }
-  // A look's news are as old as they were when sent, and as long as they waited: a view that seems
-  // young would refuse what a newer configuration allows.
+  // The time in the queue adds to the age of the polled state: a node whose view seemed newer than
+  // it is would refuse requests that a newer configuration allows.
   if (auto* update = std::get_if<discovery::ViewUpdate>(&message.value())) {
     update->age += waited;
   } else if (auto* relayed = std::get_if<ViewUpdateToRelay>(&message.value())) {
@@ -41,20 +42,21 @@
   }
   const bool leaving = std::holds_alternative<NodeLeaving>(message.value()) ||
                        std::holds_alternative<NodeLeavingToRelay>(message.value());
-  if (leaving && waited > kLateLeaving) {
+  if (leaving && waited > kMaxLeavingDelay) {
     return;
   }
-  std::visit([this](const auto& told) { take(told); }, message.value());
+  std::visit([this](const auto& decoded) { dispatch(decoded); }, message.value());
 }
 
-void PeerChannel::take(const WorkReportToRelay& told) {
-  handlers_.work(told.message);
-  handlers_.work_to_relay(told.message);
+void PeerChannel::dispatch(const WorkReportToRelay& wrapped) {
+  handlers_.work(wrapped.message);
+  handlers_.work_to_relay(wrapped.message);
 }
 
-void PeerChannel::take(const ViewUpdateToRelay& told) {
-  // The nodes of the zone that cannot join the update fetch the view here: it has to be as new.
-  handlers_.update(told.message, [this, update = told.message]() mutable {
+void PeerChannel::dispatch(const ViewUpdateToRelay& wrapped) {
+  // Nodes of the zone that cannot apply the update fetch the view here, so it must include the
+  // update before it is passed on.
+  handlers_.update(wrapped.message, [this, update = wrapped.message]() mutable {
     update.view_address = view_address_;
     send_to(relays_.zone_members(), update);
   });
@@ -65,17 +67,17 @@
     send_to_others(report);
     return;
   }
-  const peer_load::WorkReport plain = without_ends(report);
-  const std::string whole_bytes = wire::encode(PeerMessage(WorkReportToRelay{report}));
-  const std::string plain_bytes = wire::encode(PeerMessage(WorkReportToRelay{plain}));
+  const peer_load::WorkReport reduced = without_attempt_ends(report);
+  const std::string full_bytes = wire::encode(PeerMessage(WorkReportToRelay{report}));
+  const std::string reduced_bytes = wire::encode(PeerMessage(WorkReportToRelay{reduced}));
   const std::size_t kind = PeerMessage(WorkReportToRelay{}).index();
   for (const Nodes& ranked : relays_.relays()) {
     for (std::size_t rank = 0; rank != ranked.size(); ++rank) {
-      const bool whole = report.sequence % ranked.size() == rank;
+      const bool full = report.sequence % ranked.size() == rank;
       if (is_self(ranked[rank])) {
-        handlers_.work_to_relay(whole ? report : plain);
+        handlers_.work_to_relay(full ? report : reduced);
       } else {
-        send_bytes(ranked[rank], kind, whole ? whole_bytes : plain_bytes);
+        send_bytes(ranked[rank], kind, full ? full_bytes : reduced_bytes);
       }
     }
   }
@@ -97,8 +99,9 @@
   }
 }
 
-/// In a large fleet each node offers to the relays of its zone, and these to all of the zone: a
-/// relay that has just started learns of a view from any node, and any node from a relay.
+/// In a large fleet each node sends the offer to the relays of its zone, and a relay sends it to
+/// all nodes of the zone. A relay that has just started thus learns of a view from any node, and
+/// any node from a relay.
 void PeerChannel::broadcast_offer(const ViewOffer& offer) {
   if (!relays_.in_use()) {
     send_to_others(offer);
@@ -115,9 +118,9 @@
   send_to_relays(message);
 }
 
-void PeerChannel::take(const NodeLeavingToRelay& told) {
-  handlers_.leaving(told.message);
-  send_to(relays_.zone_members(), told.message);
+void PeerChannel::dispatch(const NodeLeavingToRelay& wrapped) {
+  handlers_.leaving(wrapped.message);
+  send_to(relays_.zone_members(), wrapped.message);
 }
 
 template <class Message>
@@ -136,35 +139,35 @@
   broadcast_to_all(leaving);
 }
 
-void PeerChannel::broadcast_crashes(const quarantine::CrashReportBatch& news) {
-  broadcast_to_all(news);
+void PeerChannel::broadcast_crashes(const quarantine::CrashReportBatch& batch) {
+  broadcast_to_all(batch);
 }
 
-void PeerChannel::broadcast_limits(const rate_limit::LimitReport& news) {
-  broadcast_to_all(news);
+void PeerChannel::broadcast_limits(const rate_limit::LimitReport& report) {
+  broadcast_to_all(report);
 }
 
-void PeerChannel::take(const LimitReportToRelay& told) {
-  handlers_.limits(told.message);
-  send_to(relays_.zone_members(), told.message);
+void PeerChannel::dispatch(const LimitReportToRelay& wrapped) {
+  handlers_.limits(wrapped.message);
+  send_to(relays_.zone_members(), wrapped.message);
 }
 
 void PeerChannel::broadcast_notice(const admission::BackendNotice& notice) {
   broadcast_to_all(notice);
 }
 
-void PeerChannel::take(const BackendNoticeToRelay& told) {
-  handlers_.notice(told.message);
-  send_to(relays_.zone_members(), told.message);
+void PeerChannel::dispatch(const BackendNoticeToRelay& wrapped) {
+  handlers_.notice(wrapped.message);
+  send_to(relays_.zone_members(), wrapped.message);
 }
 
-/// A relay's own news need not be gathered: it is one of the nodes that tell.
-void PeerChannel::broadcast_profiles(const engine_profiles::ProfileReport& news) {
-  broadcast_to_all(news);
+/// A relay's own report is sent like those of other nodes and need not be combined with them.
+void PeerChannel::broadcast_profiles(const engine_profiles::ProfileReport& report) {
+  broadcast_to_all(report);
 }
 
-void PeerChannel::broadcast_crashes_to_zone(const quarantine::CrashReportBatch& news) {
-  send_to(relays_.zone_members(), news);
+void PeerChannel::broadcast_crashes_to_zone(const quarantine::CrashReportBatch& batch) {
+  send_to(relays_.zone_members(), batch);
 }
 
 bool PeerChannel::is_first_relay() const {
@@ -176,24 +179,24 @@
   if (!relays_.in_use()) {
     return {};
   }
-  discovery::ReadingAssignment duty{
+  discovery::ReadingAssignment assignment{
       .role = discovery::ReadingRole::kReader, .rank = 0, .readers = {}};
-  for (std::size_t place = 0; place != discovery::RelayTable::kRelaysPerZone; ++place) {
+  for (std::size_t zone_rank = 0; zone_rank != discovery::RelayTable::kRelaysPerZone; ++zone_rank) {
     for (const Nodes& ranked : relays_.relays()) {
-      if (place < ranked.size() && is_self(ranked[place])) {
-        return duty;
+      if (zone_rank < ranked.size() && is_self(ranked[zone_rank])) {
+        return assignment;
       }
-      duty.rank += place < ranked.size() ? 1 : 0;
+      assignment.rank += zone_rank < ranked.size() ? 1 : 0;
     }
   }
-  duty.role = discovery::ReadingRole::kFollower;
-  duty.rank = 0;
+  assignment.role = discovery::ReadingRole::kFollower;
+  assignment.rank = 0;
   for (const discovery::NodeRecord& relay : own_relays()) {
     if (!relay.view_address.empty()) {
-      duty.readers.push_back(relay.view_address);
+      assignment.readers.push_back(relay.view_address);
     }
   }
-  return duty;
+  return assignment;
 }
 
 void PeerChannel::send(const Endpoint& to, const PeerMessage& message) {
@@ -207,13 +210,13 @@
 }
 
 std::vector<discovery::NodeRecord> PeerChannel::nearby_nodes() const {
-  Nodes near = relays_.zone_members();
-  if (near.empty()) {
+  Nodes nearby = relays_.zone_members();
+  if (nearby.empty()) {
     for (const auto& [node, record] : nodes_.others()) {
-      near.push_back(record);
+      nearby.push_back(record);
     }
   }
-  return near;
+  return nearby;
 }
 
 const PeerChannel::Nodes& PeerChannel::own_relays() const {
--- a/src/gateway_node/peer_exchange.cc
+++ b/src/gateway_node/peer_exchange.cc
@@ -8,19 +8,20 @@
 
 namespace {
 
-/// Between two offers of this node's view while the store is out: a node that has just started
-/// waits about this long for a view.
-constexpr Duration kOfferPeriod = std::chrono::milliseconds(500);
-/// Between two times that this node tells that it leaves: callers ask for nodes every few seconds,
-/// and a stop takes 7.5 s at most.
-constexpr Duration kLeavingPause = std::chrono::milliseconds(300);
-/// How many others a node that starts asks what engines keep; any of them may be starting, too.
-constexpr std::size_t kPeersAsked = 3;
-/// A horizon that reaches back by less than this farther is not told: nodes that were all killed
-/// start within a moment, and would tell each other all they know again and again.
-constexpr Duration kHorizonGain = std::chrono::seconds(1);
+/// Interval between offers of this node's view while the store is unreachable; about the time for
+/// which a node that has just started waits for a view.
+constexpr Duration kOfferInterval = std::chrono::milliseconds(500);
+/// Interval between announcements that this node leaves. Callers look nodes up every few seconds,
+/// and a stop takes at most 7.5 s.
+constexpr Duration kLeavingInterval = std::chrono::milliseconds(300);
+/// Number of nodes that a starting node asks for cached prompt parts; several, because any of them
+/// may be starting too.
+constexpr std::size_t kMaxPeersAsked = 3;
+/// A horizon that reaches back farther by less than this is not sent. Nodes that were all killed
+/// restart almost simultaneously, and would otherwise send each other all their reports repeatedly.
+constexpr Duration kMinHorizonGain = std::chrono::seconds(1);
 
-/// Whoever takes a kind of news says so once it is there; until then it is left alone.
+/// Handlers are set after construction; messages that arrive earlier are dropped.
 template <class Message>
 void call_if_set(const std::function<void(const Message&)>& handler, const Message& message) {
   if (handler) {
@@ -48,20 +49,20 @@
            .incarnation = deps.random.next(),
            .batch_window = options_.relay_batch_window,
            .refresh = false},
-          [this](const gateway::BackendId& engine) { return work_of_all(engine); },
+          [this](const gateway::BackendId& engine) { return total_work(engine); },
           [this](const peer_load::WorkReport& sums) { channel_.broadcast_relayed_work(sums); }),
       offer_timer_(deps.timers),
       leaving_timer_(deps.timers) {
-  listen_to_loads();
+  observe_loads();
   deps_.watcher.on_poll(
       [this](const discovery::ViewUpdate& update) { channel_.broadcast_update(update); });
   deps_.watcher.on_position(
-      [this](const discovery::PositionReport& news) { channel_.broadcast_position(news); });
+      [this](const discovery::PositionReport& report) { channel_.broadcast_position(report); });
   deps_.watcher.on_history(
-      [this](const discovery::HistoryReport& news) { channel_.broadcast_history(news); });
+      [this](const discovery::HistoryReport& report) { channel_.broadcast_history(report); });
 }
 
-void PeerExchange::listen_to_loads() {
+void PeerExchange::observe_loads() {
   gateway::LoadTable& loads = deps_.loads;
   loads.set_peers(&peer_work_);
   loads.on_change([this](const gateway::BackendId& id) {
@@ -95,27 +96,34 @@
             deps_.watcher.receive_update(update, std::move(covered));
           },
       .position =
-          [this](const discovery::PositionReport& news) { deps_.watcher.receive_position(news); },
+          [this](const discovery::PositionReport& report) {
+            deps_.watcher.receive_position(report);
+          },
       .history =
-          [this](const discovery::HistoryReport& news) { deps_.watcher.receive_history(news); },
+          [this](const discovery::HistoryReport& report) { deps_.watcher.receive_history(report); },
       .parts_request =
           [this](const peer_load::PartsRequest& request) { send_cached_parts(request); },
       .offer = [this](const ViewOffer& offer) { on_offer_(offer.view_address); },
       .usage = [this](const usage::UsageReport& report) { call_if_set(usage_, report); },
       .crashes =
-          [this](const quarantine::CrashReportBatch& news) { call_if_set(crashes_.receive, news); },
+          [this](const quarantine::CrashReportBatch& batch) {
+            call_if_set(crashes_.receive, batch);
+          },
       .crashes_to_relay =
-          [this](const quarantine::CrashReportBatch& news) {
-            call_if_set(crashes_.receive_for_relay, news);
+          [this](const quarantine::CrashReportBatch& batch) {
+            call_if_set(crashes_.receive_for_relay, batch);
           },
       .horizon_request = [this](const quarantine::HorizonRequest& request) { answer(request); },
       .horizon_report =
-          [this](const quarantine::HorizonReport& told) {
-            call_if_set(crashes_.receive_horizon, told);
+          [this](const quarantine::HorizonReport& report) {
+            call_if_set(crashes_.receive_horizon, report);
           },
       .leaving =
-          [this](const NodeLeaving& told) { deps_.nodes.note_leaving(told.node, told.registered); },
-      .limits = [this](const rate_limit::LimitReport& news) { call_if_set(limits_.receive, news); },
+          [this](const NodeLeaving& notice) {
+            deps_.nodes.note_leaving(notice.node, notice.registered);
+          },
+      .limits =
+          [this](const rate_limit::LimitReport& report) { call_if_set(limits_.receive, report); },
       .permit_request =
           [this](const rate_limit::PermitRequest& request) {
             call_if_set(limits_.receive_request, request);
@@ -127,16 +135,16 @@
       .notice =
           [this](const admission::BackendNotice& notice) { call_if_set(notices_.receive, notice); },
       .profiles =
-          [this](const engine_profiles::ProfileReport& news) {
-            call_if_set(profiles_.receive, news);
+          [this](const engine_profiles::ProfileReport& report) {
+            call_if_set(profiles_.receive, report);
           },
       .profiles_to_relay =
-          [this](const engine_profiles::ProfileReport& news) {
-            call_if_set(profiles_.receive_for_relay, news);
+          [this](const engine_profiles::ProfileReport& report) {
+            call_if_set(profiles_.receive_for_relay, report);
           },
       .relayed_profiles =
-          [this](const engine_profiles::RelayedProfileReports& relayed) {
-            call_if_set(profiles_.receive_relayed, relayed);
+          [this](const engine_profiles::RelayedProfileReports& reports) {
+            call_if_set(profiles_.receive_relayed, reports);
           }};
 }
 
@@ -146,8 +154,8 @@
   apply_observations(report, now);
 }
 
-/// What this node told itself comes back with the sums: its own ends then count twice, one among
-/// those of all nodes.
+/// The sums include what this node reported itself, so its own ended attempts count twice, which
+/// weighs little among those of all nodes.
 void PeerExchange::receive_relayed_work(const peer_load::WorkReport& sums) {
   const MonotonicTime now = deps_.clock.now();
   peer_work_.apply_relayed(sums, now);
@@ -157,7 +165,8 @@
 void PeerExchange::apply_observations(const peer_load::WorkReport& report, MonotonicTime now) {
   for (const peer_load::EngineWork& work : report.engines) {
     if (deps_.fleet.find(work.engine) == nullptr) {
-      // Gone already, or not seen yet: nothing would ever forget it again.
+      // The engine was removed already or is not known yet, so no later removal would drop its
+      // entry.
       peer_work_.forget(work.engine);
       continue;
     }
@@ -174,10 +183,10 @@
   }
 }
 
-gateway::EngineWorkload PeerExchange::work_of_all(const gateway::BackendId& engine) const {
-  gateway::EngineWorkload all = deps_.loads.own(engine);
-  all += peer_work_.direct_work_at(engine, deps_.clock.now());
-  return all;
+gateway::EngineWorkload PeerExchange::total_work(const gateway::BackendId& engine) const {
+  gateway::EngineWorkload total = deps_.loads.own(engine);
+  total += peer_work_.direct_work_at(engine, deps_.clock.now());
+  return total;
 }
 
 void PeerExchange::send_cached_parts(const peer_load::PartsRequest& request) {
@@ -187,21 +196,22 @@
   send_all_crashes(request.reply_to);
   if (limits_.send_all) {
     limits_.send_all(
-        [&](const rate_limit::LimitReport& news) { channel_.send(request.reply_to, news); });
+        [&](const rate_limit::LimitReport& report) { channel_.send(request.reply_to, report); });
   }
   if (notices_.send_all) {
     notices_.send_all(
         [&](const admission::BackendNotice& notice) { channel_.send(request.reply_to, notice); });
   }
   if (profiles_.send_all) {
-    profiles_.send_all(
-        [&](const engine_profiles::ProfileReport& news) { channel_.send(request.reply_to, news); });
+    profiles_.send_all([&](const engine_profiles::ProfileReport& report) {
+      channel_.send(request.reply_to, report);
+    });
   }
 }
 
 void PeerExchange::send_all_crashes(const Endpoint& to) {
   if (crashes_.send_all) {
-    crashes_.send_all([&](const quarantine::CrashReportBatch& news) { channel_.send(to, news); });
+    crashes_.send_all([&](const quarantine::CrashReportBatch& batch) { channel_.send(to, batch); });
   }
   if (crashes_.horizon) {
     channel_.send(to, crashes_.horizon());
@@ -209,12 +219,12 @@
 }
 
 void PeerExchange::answer(const quarantine::HorizonRequest& request) {
-  if (crashes_.horizon && crashes_.horizon().age - kHorizonGain > request.age) {
+  if (crashes_.horizon && crashes_.horizon().age - kMinHorizonGain > request.age) {
     send_all_crashes(request.reply_to);
   }
 }
 
-/// Of any zone: all nodes of one may have started at once.
+/// Chooses among the nodes of all zones: all nodes of one zone may have started at the same time.
 void PeerExchange::request_horizon() {
   const auto& others = deps_.nodes.others();
   if (others.empty()) {
@@ -228,7 +238,7 @@
 
 void PeerExchange::request_cached_parts() {
   std::vector<discovery::NodeRecord> peers = channel_.nearby_nodes();
-  for (std::size_t asked = 0; asked != kPeersAsked && !peers.empty(); ++asked) {
+  for (std::size_t asked = 0; asked != kMaxPeersAsked && !peers.empty(); ++asked) {
     const std::size_t chosen = deps_.random.below(peers.size());
     channel_.send(peers[chosen].peer_address, peer_load::PartsRequest{options_.peer_address});
     peers.erase(peers.begin() + static_cast<std::ptrdiff_t>(chosen));
@@ -246,12 +256,12 @@
   if (deps_.fleet.routes() != nullptr) {
     channel_.broadcast_offer({options_.view_address});
   }
-  offer_timer_.arm(kOfferPeriod, [this] { offer_view(); });
+  offer_timer_.arm(kOfferInterval, [this] { offer_view(); });
 }
 
 void PeerExchange::announce_leaving(std::function<shared_store::StoreRevision()> registered) {
   channel_.announce_leaving({deps_.nodes.self().node, registered()});
-  leaving_timer_.arm(kLeavingPause,
+  leaving_timer_.arm(kLeavingInterval,
                      [this, registered = std::move(registered)] { announce_leaving(registered); });
 }
 
@@ -261,12 +271,14 @@
     const std::vector<metrics::Label> labels{{"kind", kPeerMessageNames[kind]}};
     sink.counter({"peer_datagrams_sent", "Datagrams sent to other nodes"},
                  static_cast<double>(sent.datagrams), labels);
-    sink.counter({"peer_bytes_sent", "Their bytes, without headers"},
+    sink.counter({"peer_bytes_sent",
+                  "Bytes of the datagrams sent to other nodes, without UDP and IP headers"},
                  static_cast<double>(sent.bytes), labels);
-    sink.counter({"peer_bytes_sent_to_other_zones", "Of these, to other zones"},
+    sink.counter({"peer_bytes_sent_to_other_zones",
+                  "Bytes sent to nodes of other zones, without UDP and IP headers"},
                  static_cast<double>(sent.bytes_to_other_zones), labels);
   }
-  sink.gauge({"relay", "Whether this node relays for its zone"}, is_relay() ? 1 : 0);
+  sink.gauge({"relay", "Whether this node is a relay of its zone"}, is_relay() ? 1 : 0);
 }
 
 }  // namespace ochrespring::gateway_node
--- a/src/gateway_node/peer_message.h
+++ b/src/gateway_node/peer_message.h
@@ -1,4 +1,4 @@
-// Datagrams between gateway nodes.
+// Messages that gateway nodes send each other as datagrams.
 #pragma once
 
 #include <array>
@@ -15,7 +15,8 @@
 
 namespace ochrespring::gateway_node {
 
-/// Sent while the store is out: a node that has just started may know nobody to ask.
+/// Offers the sender's view of the fleet. Sent while the store is unreachable, because a node that
+/// has just started may know no node to ask.
 struct ViewOffer {
   Endpoint view_address;
 
@@ -25,10 +26,11 @@
   }
 };
 
-/// A node takes no more requests. Its registration goes, too, but only if the store answers.
+/// Announces that a node accepts no more requests. The node also removes its registration, but that
+/// requires a reachable store.
 struct NodeLeaving {
   NodeId node;
-  shared_store::StoreRevision registered;  ///< When it wrote its registration.
+  shared_store::StoreRevision registered;  ///< Revision of its registration.
 
   template <class Archive>
   void serialize(Archive& archive, unsigned /*version*/) {
@@ -37,7 +39,7 @@
   }
 };
 
-/// For a relay to pass on to the nodes of its zone.
+/// A message that a relay passes on to the nodes of its zone.
 template <class Message>
 struct ToRelay {
   Message message;
@@ -56,17 +58,17 @@
 using BackendNoticeToRelay = ToRelay<admission::BackendNotice>;
 using ProfileReportToRelay = ToRelay<engine_profiles::ProfileReport>;
 
-/// In the place of a message that nodes of earlier builds send and this build does not read: their
-/// revisions name no life of the store. It is never sent, and taken for no message when it comes.
-template <int kPlace>
+/// Holds the index of a message that earlier builds send and this build ignores, because its
+/// revisions contain no store era. Never sent.
+template <int kIndex>
 struct RetiredMessage {
   template <class Archive>
   void serialize(Archive& /*archive*/, unsigned /*version*/) {}
 };
 
-/// Each stands for itself: it may be lost, doubled or late. The place of an alternative is its name
-/// on the wire: builds that run side by side do not read what they do not know, so a message whose
-/// form changes gets a new place at the end.
+/// Any message may be lost, duplicated or delayed, so each is independent of the others. The index
+/// of an alternative identifies it on the wire. Builds that run side by side ignore unknown
+/// indices, so a message whose format changes gets a new index at the end.
 using PeerMessage =
     std::variant<peer_load::WorkReport, RetiredMessage<1>, peer_load::PartsRequest, ViewOffer,
                  WorkReportToRelay, peer_load::RelayedReport, RetiredMessage<6>, usage::UsageReport,
@@ -78,7 +80,7 @@
                  engine_profiles::ProfileReport, ProfileReportToRelay,
                  engine_profiles::RelayedProfileReports>;
 
-/// Names of the alternatives, in order, for metrics.
+/// Metric labels of the alternatives of PeerMessage, in order.
 constexpr std::array<const char*, std::variant_size_v<PeerMessage>> kPeerMessageNames{
     "work_report",
     "former_view_update",
--- a/src/gateway_node/settings.cc
+++ b/src/gateway_node/settings.cc
@@ -25,16 +25,16 @@
 constexpr const char* kMillisecondRule = "whole milliseconds from 1 to 600000";
 constexpr const char* kRatioRule = "a number from 0 to 10";
 constexpr const char* kSlackRule = "a number from 0 to 1000000";
-constexpr const char* kSeedsRule = "addresses IP:PORT joined by commas";
-constexpr const char* kMegabitRule = "megabits a second from 0 to 10000000";
+constexpr const char* kSeedsRule = "comma-separated addresses IP:PORT";
+constexpr const char* kMegabitRule = "megabits per second from 0 to 10000000";
 constexpr const char* kSwitchRule = "0 or 1";
 constexpr const char* kNodesRule = "a number from 2 to 1000000";
-constexpr const char* kDutiesRule = "names joined by commas: usage_report, autoscale";
-constexpr const char* kHeadRoomRule = "a number from 0 to 10";
-constexpr const char* kPartRule = "a number from 0 to 1";
-/// A node with 120 MB keeps some kilobytes for each request besides its body.
+constexpr const char* kDutiesRule = "comma-separated names: usage_report, autoscale";
+constexpr const char* kHeadroomRule = "a number from 0 to 10";
+constexpr const char* kFractionRule = "a number from 0 to 1";
+/// A node has 120 MB of memory and uses some kilobytes per request besides its body.
 constexpr NumberRange kQueueRequestsRange{0, 20'000};
-constexpr const char* kQueueRequestsRule = "a whole number from 0 to 20000; 0: none queues";
+constexpr const char* kQueueRequestsRule = "a whole number from 0 to 20000; 0 disables the queue";
 constexpr NumberRange kQueueBytesRange{1'024, 1'073'741'824};
 constexpr const char* kQueueBytesRule = "whole bytes from 1024 to 1073741824";
 constexpr const char* kSecondsRule = "seconds from 0.1 to 3600";
@@ -73,10 +73,10 @@
   };
 }
 
-bool read_real(const std::string& text, double least, double most, double& value) {
+bool read_real(const std::string& text, double min, double max, double& value) {
   char* end = nullptr;
   value = std::strtod(text.c_str(), &end);
-  return end != text.c_str() && *end == '\0' && value >= least && value <= most;
+  return end != text.c_str() && *end == '\0' && value >= min && value <= max;
 }
 
 auto store_queue_limit(std::size_t admission_queue::QueueLimits::*member, NumberRange range) {
@@ -88,12 +88,12 @@
   };
 }
 
-/// A whole number; a fraction is dropped.
+/// Stores a number as an integer; a fraction is discarded.
 template <class Member>
-auto store_whole(Member Settings::*member, double least, double most) {
+auto store_integer(Member Settings::*member, double min, double max) {
   return [=](const std::string& text, Settings& settings) {
     double number = 0;
-    const bool allowed = read_real(text, least, most, number);
+    const bool allowed = read_real(text, min, max, number);
     if (allowed) {
       settings.*member = static_cast<Member>(number);
     }
@@ -101,10 +101,10 @@
   };
 }
 
-bool store_seconds(const std::string& text, Duration& span) {
+bool store_seconds(const std::string& text, Duration& duration) {
   double seconds = 0;
   const bool allowed = read_real(text, 0.1, 3600, seconds);
-  span = from_seconds(seconds);
+  duration = from_seconds(seconds);
   return allowed;
 }
 
@@ -120,13 +120,13 @@
   return true;
 }
 
-auto store_span(Duration Settings::*member) {
+auto store_duration(Duration Settings::*member) {
   return [member](const std::string& text, Settings& settings) {
     return store_seconds(text, settings.*member);
   };
 }
 
-/// Duties that a node does not know are left to others.
+/// Ignores names of unknown duties, which other nodes may know.
 bool store_duties(const std::string& text, Settings& settings) {
   std::istringstream names(text);
   std::string name;
@@ -137,7 +137,7 @@
   return true;
 }
 
-std::vector<Specification> make_table() {
+std::vector<Specification> make_specifications() {
   return {
       {"node", "Name of this node", settings::kNameRule, "", true, store_name(&Settings::node)},
       {"zone", "Zone of this node", settings::kNameRule, "", true, store_name(&Settings::zone)},
@@ -145,25 +145,25 @@
        store_listen(&Settings::listen)},
       {"ready-listen", "Address for readiness checks", settings::kEndpointRule, "", true,
        store_listen(&Settings::ready_listen)},
-      {"directory-listen", "Address for look-ups of nodes", settings::kEndpointRule, "", true,
+      {"directory-listen", "Address for lookups of nodes", settings::kEndpointRule, "", true,
        store_listen(&Settings::directory_listen)},
       {"peer-listen", "Address for other nodes' datagrams", settings::kEndpointRule, "", true,
        store_listen(&Settings::peer_listen)},
       {"metrics-listen", "Address for /metrics; none if absent", settings::kEndpointRule, "", false,
        store_listen(&Settings::metrics_listen)},
-      {"view-listen", "Address at which other nodes ask for this node's view; none if absent",
+      {"view-listen", "Address for other nodes' requests for this node's view; none if absent",
        settings::kEndpointRule, "", false, store_listen(&Settings::view_listen)},
-      {"seeds", "Other nodes' view addresses, to ask while the store is out", kSeedsRule, "", false,
-       store_seeds},
-      {"store", "Address of the store that all nodes share", settings::kPeerEndpointRule, "", true,
+      {"seeds", "View addresses of other nodes, to ask while the store is unreachable", kSeedsRule,
+       "", false, store_seeds},
+      {"store", "Address of the shared store", settings::kPeerEndpointRule, "", true,
        [](const std::string& text, Settings& target) {
          return settings::read_remote_endpoint(text, target.store);
        }},
-      {"retry-ratio", "Repeats allowed per request, over all nodes", kRatioRule, "0.1", false,
+      {"retry-ratio", "Retries allowed per request, over all nodes", kRatioRule, "0.1", false,
        [](const std::string& text, Settings& target) {
          return read_real(text, 0, 10, target.retry_budget.ratio);
        }},
-      {"retry-slack", "Repeats allowed in any window besides, over all nodes", kSlackRule, "10",
+      {"retry-slack", "Additional retries allowed in any window, over all nodes", kSlackRule, "10",
        false,
        [](const std::string& text, Settings& target) {
          return read_real(text, 0, 1e6, target.retry_budget.slack);
@@ -172,72 +172,75 @@
        [](const std::string& text, Settings& target) {
          return store_seconds(text, target.retry_budget.window);
        }},
-      {"queue-most-requests", "Requests of one service that wait here for full back ends",
+      {"queue-most-requests",
+       "Maximum number of requests per service that wait at this node for full back ends",
        kQueueRequestsRule, "0", false,
        store_queue_limit(&admission_queue::QueueLimits::requests, kQueueRequestsRange)},
-      {"queue-most-bytes", "Bytes of the bodies of one service's requests that wait here",
+      {"queue-most-bytes", "Maximum total size of the bodies of waiting requests per service",
        kQueueBytesRule, "16777216", false,
        store_queue_limit(&admission_queue::QueueLimits::bytes, kQueueBytesRange)},
       {"replicate-resumable-streams",
-       "1: also streams that may be sent anew are copied to a second engine as they grow",
-       kSwitchRule, "0", false, store_whole(&Settings::replicate_resumable_streams, 0, 1)},
-      {"stop-grace-s", "Time from the stop signal to the end", kSecondsRule, "8", false,
+       "1: streams that may be retried are also replicated to a second engine as they grow",
+       kSwitchRule, "0", false, store_integer(&Settings::replicate_resumable_streams, 0, 1)},
+      {"stop-grace-s", "Time from the stop signal to the forced end", kSecondsRule, "8", false,
        [](const std::string& text, Settings& target) {
          return store_seconds(text, target.stop_grace);
        }},
-      {"node-lease-ms", "Life of this node's registration without renewal", kMillisecondRule,
-       "3000", false, store_milliseconds(&Settings::node_lease)},
-      {"drain-bound-ms", "Time from the store's word that a back end drains to its last request",
+      {"node-lease-ms", "Time after which this node's registration expires if it is not renewed",
+       kMillisecondRule, "3000", false, store_milliseconds(&Settings::node_lease)},
+      {"drain-bound-ms",
+       "Time from the drain of a back end in the store to the last new request sent to it",
        kMillisecondRule, "2000", false, store_milliseconds(&Settings::drain_bound)},
       {"configuration-bound-ms",
-       "Time from the store's word of a configuration to its being in force", kMillisecondRule,
-       "2000", false, store_milliseconds(&Settings::configuration_bound)},
-      {"link-mbps", "Speed of this machine's network link, which relays are chosen by",
-       kMegabitRule, "0", false, store_whole(&Settings::link_mbps, 0, 1e7)},
-      {"relay-from-nodes", "Number of nodes from which on news between them goes by relays",
-       kNodesRule, "48", false, store_whole(&Settings::relay_from_nodes, 2, 1e6)},
-      {"relay-gather-ms", "Time for which a relay gathers what it is told", kMillisecondRule, "10",
-       false, store_milliseconds(&Settings::relay_batch_window)},
-      {"cloud", "Address that takes usage reports and orders of servers; none if absent",
+       "Time from the change of the configuration in the store to its being in force",
+       kMillisecondRule, "2000", false, store_milliseconds(&Settings::configuration_bound)},
+      {"link-mbps", "Speed of this machine's network link, by which relays are selected",
+       kMegabitRule, "0", false, store_integer(&Settings::link_mbps, 0, 1e7)},
+      {"relay-from-nodes", "Number of nodes from which on broadcasts between them are relayed",
+       kNodesRule, "48", false, store_integer(&Settings::relay_from_nodes, 2, 1e6)},
+      {"relay-gather-ms", "Time for which a relay combines reports before it sends them",
+       kMillisecondRule, "10", false, store_milliseconds(&Settings::relay_batch_window)},
+      {"cloud", "Address that receives usage reports and server orders; none if absent",
        settings::kPeerEndpointRule, "", false,
        [](const std::string& text, Settings& target) {
          return settings::read_remote_endpoint(text, target.cloud);
        }},
-      {"duties", "What one of the nodes does for all", kDutiesRule, "", false, store_duties},
-      {"usage-window-s", "Length of a window of usage", kSecondsRule, "5", false,
-       store_span(&Settings::usage_window)},
-      {"usage-due-s", "Time from a window's end to its report", kSecondsRule, "10", false,
-       store_span(&Settings::usage_due)},
+      {"duties", "Duties that one of the nodes performs for the fleet", kDutiesRule, "", false,
+       store_duties},
+      {"usage-window-s", "Length of a usage window", kSecondsRule, "5", false,
+       store_duration(&Settings::usage_window)},
+      {"usage-due-s", "Time from the end of a usage window to its report", kSecondsRule, "10",
+       false, store_duration(&Settings::usage_due)},
       {"preemptible-head-room",
-       "Preemptible servers ordered for each one needed, after the loss of a zone", kHeadRoomRule,
+       "Preemptible servers ordered for each server needed after the loss of a zone", kHeadroomRule,
        "1", false,
        [](const std::string& text, Settings& target) {
          return read_real(text, 0, 10, target.server_plan.head_room);
        }},
-      {"regular-part", "Part of the servers needed that is never given up for preemptible ones",
-       kPartRule, "0", false,
+      {"regular-part", "Fraction of the needed servers that is never replaced by preemptible ones",
+       kFractionRule, "0", false,
        [](const std::string& text, Settings& target) {
          return read_real(text, 0, 1, target.server_plan.regular_part);
        }},
-      {"log-level", "Least level of log lines", settings::kLevelRule, "info", false,
+      {"log-level", "Minimum level of log lines", settings::kLevelRule, "info", false,
        [](const std::string& text, Settings& target) {
          return settings::read_level(text, target.log_level);
        }},
   };
 }
 
-/// All taken as text, so that every mistake can be reported.
+/// Reads all values as text first, so that all errors can be reported at once.
 class CommandLineParser {
  public:
-  CommandLineParser() : table_(make_table()) {
+  CommandLineParser() : specifications_(make_specifications()) {
     app_.set_version_flag("--version", kVersion);
     app_.add_flag("--check", check_, "Validate the settings and exit");
     app_.set_config("--config", "",
                     "File with `key = value` lines; the keys are these flags' names");
     app_.allow_config_extras(CLI::config_extras_mode::ignore);
-    for (const Specification& specification : table_) {
+    for (const Specification& specification : specifications_) {
       const std::string help = specification.help + " (" + specification.allowed + ")";
-      app_.add_option("--" + specification.key, given_[specification.key], help)
+      app_.add_option("--" + specification.key, values_[specification.key], help)
           ->multi_option_policy(CLI::MultiOptionPolicy::TakeLast);
     }
   }
@@ -249,7 +252,7 @@
     }
     ParsedCommandLine parsed;
     Errors errors;
-    for (const Specification& specification : table_) {
+    for (const Specification& specification : specifications_) {
       check(specification, parsed.settings, errors);
     }
     if (!errors.empty()) {
@@ -262,7 +265,7 @@
 
  private:
   void check(const Specification& specification, Settings& target, Errors& errors) const {
-    std::string text = given_.at(specification.key);
+    std::string text = values_.at(specification.key);
     if (text.empty()) {
       text = specification.default_value;
     }
@@ -280,10 +283,10 @@
     }
   }
 
-  std::vector<Specification> table_;
-  std::map<std::string, std::string> given_;
+  std::vector<Specification> specifications_;
+  std::map<std::string, std::string> values_;
   bool check_ = false;
-  CLI::App app_{"ochrespring-gateway: one node that takes callers' requests",
+  CLI::App app_{"ochrespring-gateway: a gateway node that serves callers' requests",
                 "ochrespring-gateway"};
 };
 
--- a/src/gateway_node/settings.h
+++ b/src/gateway_node/settings.h
@@ -1,4 +1,4 @@
-// Settings of one gateway node: flags, or keys of the settings file of the same names.
+// Settings of a gateway node, given as flags or as keys of the same names in the settings file.
 #pragma once
 
 #include <cstdint>
@@ -18,34 +18,34 @@
 struct Settings {
   NodeId node;
   ZoneName zone;
-  Endpoint listen;              ///< Callers' requests.
-  Endpoint ready_listen;        ///< The platform's readiness checks.
-  Endpoint directory_listen;    ///< Callers' look-ups of nodes.
-  Endpoint metrics_listen;      ///< Empty: no metrics.
-  Endpoint peer_listen;         ///< Other nodes' datagrams.
-  Endpoint view_listen;         ///< Other nodes' requests for this node's view; empty: none.
-  std::vector<Endpoint> seeds;  ///< Nodes to ask for their view while the store is out.
-  Endpoint store;               ///< The store all nodes share.
+  Endpoint listen;              ///< For callers' requests.
+  Endpoint ready_listen;        ///< For the platform's readiness checks.
+  Endpoint directory_listen;    ///< For callers' lookups of nodes.
+  Endpoint metrics_listen;      ///< For metrics; empty if none are served.
+  Endpoint peer_listen;         ///< For other nodes' datagrams.
+  Endpoint view_listen;         ///< For other nodes' requests for this node's view; may be empty.
+  std::vector<Endpoint> seeds;  ///< Nodes to ask for their view while the store is unreachable.
+  Endpoint store;               ///< The shared store.
   gateway::RetryBudgetSettings retry_budget;
-  /// Of requests that wait at this node for full back ends, for each service.
+  /// Limits per service for requests that wait at this node for full back ends.
   admission_queue::QueueLimits queue;
-  Duration stop_grace{std::chrono::seconds(8)};  ///< From the stop signal to the end by force.
-  /// A back end that drains gets nothing new after this time.
+  Duration stop_grace{std::chrono::seconds(8)};  ///< From the stop signal to the forced end.
+  /// Time after which a draining back end receives no new requests.
   Duration drain_bound{std::chrono::milliseconds(2000)};
-  /// A configuration is in force after this time.
+  /// Time after which a new configuration is in force.
   Duration configuration_bound{std::chrono::milliseconds(2000)};
   Duration node_lease{std::chrono::seconds(3)};
-  std::uint32_t link_mbps = 0;  ///< Of this machine's network link; 0: not known.
-  /// From this many nodes on, news between nodes goes by relays.
+  std::uint32_t link_mbps = 0;  ///< Speed of this machine's network link; 0 if unknown.
+  /// Number of nodes from which on broadcasts between nodes are relayed.
   std::uint32_t relay_from_nodes = 48;
   std::uint32_t replicate_resumable_streams = 0;  ///< 0 or 1.
-  /// How long a relay gathers what it is told before it tells its zone.
+  /// Time for which a relay combines reports before it sends them to its zone.
   Duration relay_batch_window{std::chrono::milliseconds(10)};
-  Endpoint cloud;  ///< Takes the calls of duties; empty: there are none.
+  Endpoint cloud;  ///< Receives the calls of the duties; empty if there are no duties.
   bool reports_usage = false;
   bool orders_servers = false;
-  Duration usage_window{std::chrono::seconds(5)};  ///< Length of a window of usage.
-  Duration usage_due{std::chrono::seconds(10)};    ///< From a window's end to its report.
+  Duration usage_window{std::chrono::seconds(5)};  ///< Length of a usage window.
+  Duration usage_due{std::chrono::seconds(10)};  ///< From the end of a usage window to its report.
   fleet_control::ServerPlanOptions server_plan;
   logging::Level log_level = logging::Level::kInfo;
   std::string file;  ///< The settings file, empty if none was given.
@@ -57,8 +57,9 @@
   std::string text;
 };
 
-/// Reads flags and the file named by --config; flags win. Keys of the file that are not known are
-/// ignored: the file may gain fields. Every mistake is reported by its key.
+/// Parses flags and the file given by --config. Flags take precedence. Unknown keys of the file are
+/// ignored, so that files may contain keys of later versions. Returns all errors, each with its
+/// key.
 Result<ParsedCommandLine, std::vector<settings::SettingsError>> parse_command_line(
     const std::vector<std::string>& arguments);
 
--- a/src/gateway_node/stop_sequence.cc
+++ b/src/gateway_node/stop_sequence.cc
@@ -6,13 +6,16 @@
 namespace ochrespring::gateway_node {
 
 StopSequence::StopSequence(TimerService& timers, Actions actions)
-    : actions_(std::move(actions)), refuse_(timers), step_(timers), force_(timers) {}
+    : actions_(std::move(actions)),
+      refuse_timer_(timers),
+      step_timer_(timers),
+      force_timer_(timers) {}
 
 StopTimes StopTimes::within(Duration grace) {
   StopTimes times;
   times.grace = grace;
-  times.callers_notice = std::min(times.callers_notice, grace / 2);
-  times.refuse_long = std::min(times.refuse_long, grace / 3);
+  times.directory_staleness = std::min(times.directory_staleness, grace / 2);
+  times.refuse_long_after = std::min(times.refuse_long_after, grace / 3);
   return times;
 }
 
@@ -22,36 +25,37 @@
   }
   times_ = times;
   actions_.leave();
-  refuse_.arm(times_.refuse_long, [this] {
-    if (actions_.refuse_long) {
-      actions_.refuse_long();
+  refuse_timer_.arm(times_.refuse_long_after, [this] {
+    if (actions_.refuse_long_requests) {
+      actions_.refuse_long_requests();
     }
   });
-  step_.arm(times_.callers_notice, [this] {
-    callers_noticed_ = true;
+  step_timer_.arm(times_.directory_staleness, [this] {
+    stale_answers_expired_ = true;
     actions_.stop_accepting();
     finish_if_idle();
   });
-  force_.arm(times_.grace, [this] { force(); });
+  force_timer_.arm(times_.grace, [this] { force_finish(); });
 }
 
-void StopSequence::force() {
-  step_.disarm();
+void StopSequence::force_finish() {
+  step_timer_.disarm();
   if (actions_.end_requests) {
     actions_.end_requests();
   }
-  force_.arm(times_.linger, [this] { actions_.finish(); });
+  force_timer_.arm(times_.idle_period, [this] { actions_.finish(); });
 }
 
-/// Not after force(): the end is due then in any case.
+/// Has no effect after force_finish(), which has scheduled the end already.
 void StopSequence::on_idle() {
-  if (callers_noticed_ && step_.armed()) {
+  if (stale_answers_expired_ && step_timer_.armed()) {
     was_idle_ = false;
     finish_if_idle();
   }
 }
 
-/// Twice in a row: a connection that was just accepted is read in the next turn of the loop.
+/// Finishes only if two checks in a row find the node idle, because a connection that was just
+/// accepted is read in the next iteration of the event loop.
 void StopSequence::finish_if_idle() {
   const bool idle = actions_.running() == 0;
   if (idle && was_idle_) {
@@ -59,7 +63,7 @@
     return;
   }
   was_idle_ = idle;
-  step_.arm(times_.linger, [this] { finish_if_idle(); });
+  step_timer_.arm(times_.idle_period, [this] { finish_if_idle(); });
 }
 
 }  // namespace ochrespring::gateway_node
--- a/src/gateway_node/stop_sequence.h
+++ b/src/gateway_node/stop_sequence.h
@@ -8,59 +8,63 @@
 
 namespace ochrespring::gateway_node {
 
-/// When the steps of a stop are due.
+/// Times of the steps of a planned stop.
 struct StopTimes {
-  /// From the stop signal to when requests that may outlast the grace are refused. Later than 3 s
-  /// after the signal callers count on an answer; half a second is for what is on its way.
-  Duration refuse_long{std::chrono::milliseconds(2500)};
-  /// Callers may go on using an old answer of the directory that names this node for this long.
-  Duration callers_notice{std::chrono::milliseconds(3500)};
-  /// Nothing may be held for so long before the end. Also how often that is asked.
-  Duration linger{std::chrono::milliseconds(50)};
-  /// From the stop signal to the end by force, but for `linger`.
+  /// From the stop signal until requests that may outlast the grace period are refused. Callers
+  /// rely on an answer from 3 s after the signal on; the remaining half second covers requests in
+  /// transit.
+  Duration refuse_long_after{std::chrono::milliseconds(2500)};
+  /// Time for which callers may still use an old answer of the directory that contains this node.
+  Duration directory_staleness{std::chrono::milliseconds(3500)};
+  /// The node must have been idle for this long before it finishes. Also the interval of the
+  /// checks.
+  Duration idle_period{std::chrono::milliseconds(50)};
+  /// From the stop signal until remaining requests are ended by force; the process finishes
+  /// `idle_period` later.
   Duration grace{std::chrono::milliseconds(7500)};
 
-  /// The steps before the end come sooner where the grace is short.
+  /// Returns the times for a grace period. The earlier steps come sooner if it is short.
   static StopTimes within(Duration grace);
 };
 
-/// Ends the process when callers have had time to notice and no request is held any more; by force
-/// when the grace is over. Requests that arrive meanwhile are served. What is held is asked for
-/// again and again: an end that depends on being told of each request's end cuts those whose holder
-/// does not tell. One loop.
+/// Ends the process once callers have had time to notice the stop and no request is in progress, or
+/// by force when the grace period is over. Requests that arrive meanwhile are served. The number of
+/// requests in progress is polled: a sequence that relied on a notification of each request's end
+/// would cut off requests whose end is not notified. Not thread-safe; used on one event loop.
 class StopSequence {
  public:
   struct Actions {
-    std::function<void()> leave;           ///< Out of the directory; connections close politely.
-    std::function<void()> stop_accepting;  ///< No new connections.
+    std::function<void()> leave;  ///< Leave the directory and announce the close of connections.
+    std::function<void()> stop_accepting;  ///< Accept no new connections.
     std::function<void()> finish;          ///< End the process.
-    std::function<std::size_t()> running;  ///< Requests of which anything is held.
-    /// Requests that may outlast the grace are refused from now on; may be empty.
-    std::function<void()> refuse_long{};
-    /// Each request that is held gets its final answer; may be empty.
+    std::function<std::size_t()> running;  ///< Number of requests in progress.
+    /// Refuse requests that may outlast the grace period from now on; may be empty.
+    std::function<void()> refuse_long_requests{};
+    /// Give each request in progress its final answer; may be empty.
     std::function<void()> end_requests{};
   };
 
   StopSequence(TimerService& timers, Actions actions);
 
-  /// The stop signal; a second one changes nothing.
+  /// Handles the stop signal; a second signal has no effect.
   void begin(const StopTimes& times);
-  /// The last request may have ended: the end need not wait for the next question.
+  /// Called when the last request may have ended, so that finishing need not wait for the next
+  /// check.
   void on_idle();
   bool begun() const { return begun_; }
 
  private:
   void finish_if_idle();
-  void force();
+  void force_finish();
 
   Actions actions_;
   StopTimes times_;
-  Timer refuse_;
-  Timer step_;
-  Timer force_;
+  Timer refuse_timer_;
+  Timer step_timer_;
+  Timer force_timer_;
   bool begun_ = false;
-  bool callers_noticed_ = false;
-  bool was_idle_ = false;  ///< When it was last asked.
+  bool stale_answers_expired_ = false;  ///< `directory_staleness` has passed.
+  bool was_idle_ = false;               ///< At the last check.
 };
 
 }  // namespace ochrespring::gateway_node
--- a/src/gateway_node/transfer_budget.cc
+++ b/src/gateway_node/transfer_budget.cc
@@ -16,13 +16,13 @@
     return true;
   }
   free_at_ = std::max(free_at_, now);
-  const Duration queue = free_at_ - now;
-  const Duration takes = from_seconds(static_cast<double>(bytes) * kBitsPerByte /
-                                      (kLinkPart * kBitsPerMegabit * link_mbps_));
-  if (queue != Duration::zero() && queue + takes > kLongestQueue) {
+  const Duration queue_time = free_at_ - now;
+  const Duration transfer_time = from_seconds(static_cast<double>(bytes) * kBitsPerByte /
+                                              (kLinkFraction * kBitsPerMegabit * link_mbps_));
+  if (queue_time != Duration::zero() && queue_time + transfer_time > kMaxQueueTime) {
     return false;
   }
-  free_at_ += takes;
+  free_at_ += transfer_time;
   return true;
 }
 
--- a/src/gateway_node/view_exchange.cc
+++ b/src/gateway_node/view_exchange.cc
@@ -17,24 +17,24 @@
 using discovery::ViewRequest;
 using discovery::ViewTransfer;
 
-/// Of this form of a view; nodes of earlier builds serve theirs at another path, and neither reads
-/// the other's.
+/// Identifies the format of a view. Earlier builds serve theirs at another path, because neither
+/// can read the other's format.
 constexpr const char* kPath = "/view/2";
 constexpr const char* kContentType = "application/octet-stream";
-/// Of a request: the revision behind which changes are asked for, with its era, and where the asker
-/// serves its own view later.
+/// Headers of a request: the revision after which changes are requested, its store era, and the
+/// address at which the requesting node will serve its own view.
 constexpr const char* kAfterHeader = "view-after";
 constexpr const char* kEraHeader = "view-era";
-constexpr const char* kAskerHeader = "view-asker";
-/// Of an answer: microseconds for which it was kept before it went out.
-constexpr const char* kKeptHeader = "view-kept-us";
+constexpr const char* kRequesterHeader = "view-asker";
+/// Header of an answer: time in microseconds for which it was cached before it was sent.
+constexpr const char* kCachedTimeHeader = "view-kept-us";
 constexpr Duration kTimeout = std::chrono::milliseconds(800);
 constexpr Duration kConnectTimeout = std::chrono::milliseconds(300);
-/// Askers that come so soon after another get the same bytes: encoding 10,000 servers takes some
-/// 0.1 s on a tenth of a core.
-constexpr Duration kKeepAnswer = std::chrono::milliseconds(200);
-/// Named to an asker that is not served.
-constexpr std::size_t kOthersNamed = 4;
+/// Time for which an encoded answer is reused: encoding 10,000 servers takes about 0.1 s on a tenth
+/// of a core.
+constexpr Duration kAnswerLifetime = std::chrono::milliseconds(200);
+/// Number of nodes named in a refusal.
+constexpr std::size_t kMaxNodesNamed = 4;
 
 http::ServerSettings server_at(const Endpoint& endpoint) {
   http::ServerSettings settings;
@@ -42,7 +42,7 @@
   return settings;
 }
 
-/// What was asked for; none: the whole view.
+/// Returns the revision after which changes are requested; nothing for the complete view.
 std::optional<shared_store::StoreRevision> read_after(const http::Request& request) {
   const auto after = http::parse_number(http::find_header(request.headers, kAfterHeader));
   const auto era = http::parse_number(http::find_header(request.headers, kEraHeader));
@@ -52,7 +52,7 @@
   return shared_store::StoreRevision(*after, shared_store::StoreEra(*era));
 }
 
-/// The answer's age counts on while it is kept.
+/// Decodes a transfer and adds the time for which the answer was cached to its age.
 std::optional<ViewTransfer> read_transfer(const http::Response& answer) {
   const auto bytes = wire::decompress(answer.body);
   if (!bytes) {
@@ -62,8 +62,8 @@
   if (!transfer) {
     return std::nullopt;
   }
-  const auto kept = http::parse_number(http::find_header(answer.head.headers, kKeptHeader));
-  std::visit([&](auto& told) { told.age += std::chrono::microseconds(kept.value_or(0)); },
+  const auto cached = http::parse_number(http::find_header(answer.head.headers, kCachedTimeHeader));
+  std::visit([&](auto& content) { content.age += std::chrono::microseconds(cached.value_or(0)); },
              transfer.value());
   return std::move(transfer.value());
 }
@@ -71,7 +71,7 @@
 }  // namespace
 
 ViewExchange::ViewExchange(Dependencies deps, Options options,
-                           std::function<Transfer(AskedAfter)> own_view)
+                           std::function<Transfer(AfterRevision)> own_view)
     : deps_(deps),
       options_(std::move(options)),
       own_view_(std::move(own_view)),
@@ -89,54 +89,56 @@
 }
 
 void ViewExchange::serve(const http::Request& request, http::ResponseWriter& response) {
-  const KeptAnswer* answer = answer_for(read_after(request));
+  const CachedAnswer* answer = answer_for(read_after(request));
   const MonotonicTime now = deps_.clock.now();
   if (answer == nullptr || !budget_.admit(answer->bytes.size(), now)) {
     refuse(response);
     return;
   }
-  note_served(Endpoint(std::string(http::find_header(request.headers, kAskerHeader))));
-  const auto kept = std::chrono::duration_cast<std::chrono::microseconds>(now - answer->made);
-  response.respond(200,
-                   {{"content-type", kContentType}, {kKeptHeader, std::to_string(kept.count())}},
-                   answer->bytes);
+  note_served(Endpoint(std::string(http::find_header(request.headers, kRequesterHeader))));
+  const auto cached = std::chrono::duration_cast<std::chrono::microseconds>(now - answer->created);
+  response.respond(
+      200, {{"content-type", kContentType}, {kCachedTimeHeader, std::to_string(cached.count())}},
+      answer->bytes);
 }
 
-const ViewExchange::KeptAnswer* ViewExchange::answer_for(AskedAfter after) {
+const ViewExchange::CachedAnswer* ViewExchange::answer_for(AfterRevision after) {
   const MonotonicTime now = deps_.clock.now();
-  std::erase_if(kept_, [&](const KeptAnswer& kept) { return now - kept.made > kKeepAnswer; });
-  const auto found = std::find_if(kept_.begin(), kept_.end(),
-                                  [&](const KeptAnswer& kept) { return kept.after == after; });
-  if (found != kept_.end()) {
+  std::erase_if(cached_answers_,
+                [&](const CachedAnswer& answer) { return now - answer.created > kAnswerLifetime; });
+  const auto found =
+      std::find_if(cached_answers_.begin(), cached_answers_.end(),
+                   [&](const CachedAnswer& answer) { return answer.after == after; });
+  if (found != cached_answers_.end()) {
     return &*found;
   }
   const Transfer transfer = own_view_(after);
   if (!transfer) {
     return nullptr;
   }
-  if (kept_.size() == kMostKeptAnswers) {
-    kept_.pop_front();
+  if (cached_answers_.size() == kMaxCachedAnswers) {
+    cached_answers_.pop_front();
   }
-  kept_.push_back({after, wire::compress(wire::encode(*transfer)), now});
-  return &kept_.back();
+  cached_answers_.push_back({after, wire::compress(wire::encode(*transfer)), now});
+  return &cached_answers_.back();
 }
 
 void ViewExchange::refuse(http::ResponseWriter& response) {
   std::vector<Endpoint> others(served_.begin(), served_.end());
-  while (others.size() > kOthersNamed) {
+  while (others.size() > kMaxNodesNamed) {
     const std::size_t left_out = deps_.random.below(others.size());
     others.erase(others.begin() + static_cast<std::ptrdiff_t>(left_out));
   }
   response.respond(503, {{"content-type", kContentType}}, wire::encode(others));
 }
 
-void ViewExchange::note_served(const Endpoint& asker) {
-  if (asker.empty()) {
+void ViewExchange::note_served(const Endpoint& requester) {
+  if (requester.empty()) {
     return;
   }
-  std::erase(served_, asker);
-  served_.push_front(asker);
-  if (served_.size() > kMostServed) {
+  std::erase(served_, requester);
+  served_.push_front(requester);
+  if (served_.size() > kMaxServed) {
     served_.pop_back();
   }
 }
@@ -144,10 +146,10 @@
 void ViewExchange::note_source(const Endpoint& source) {
   std::erase(sources_, source);
   sources_.push_front(source);
-  if (sources_.size() > kMostSources) {
+  if (sources_.size() > kMaxSources) {
     sources_.pop_back();
   }
-  next_ = 0;
+  next_candidate_ = 0;
 }
 
 void ViewExchange::fetch(const std::vector<Endpoint>& others, TransferCallback done) {
@@ -161,11 +163,11 @@
     done(std::nullopt);
     return;
   }
-  fetch_from({candidates[next_++ % candidates.size()], std::nullopt}, std::move(done));
+  fetch_from({candidates[next_candidate_++ % candidates.size()], std::nullopt}, std::move(done));
 }
 
-void ViewExchange::fetch_from(const ViewRequest& request, TransferCallback done) {
-  ask(request, [this, request, done = std::move(done)](Outcome first) mutable {
+void ViewExchange::fetch_from(const ViewRequest& wanted, TransferCallback done) {
+  request(wanted, [this, wanted, done = std::move(done)](FetchResult first) mutable {
     std::erase(first.others, options_.listen);
     if (first.transfer || first.others.empty()) {
       done(std::move(first.transfer));
@@ -175,25 +177,25 @@
       note_source(other);
     }
     const Endpoint& other = first.others[deps_.random.below(first.others.size())];
-    ask({other, request.after},
-        [done = std::move(done)](Outcome second) { done(std::move(second.transfer)); });
+    request({other, wanted.after},
+            [done = std::move(done)](FetchResult second) { done(std::move(second.transfer)); });
   });
 }
 
-void ViewExchange::ask(const ViewRequest& wanted, std::function<void(Outcome)> done) {
-  http::ClientRequest request;
-  request.endpoint = wanted.holder;
-  request.path = kPath;
-  request.timeout = kTimeout;
-  request.connect_timeout = kConnectTimeout;
+void ViewExchange::request(const ViewRequest& wanted, std::function<void(FetchResult)> done) {
+  http::ClientRequest call;
+  call.endpoint = wanted.holder;
+  call.path = kPath;
+  call.timeout = kTimeout;
+  call.connect_timeout = kConnectTimeout;
   if (wanted.after) {
-    request.headers.push_back({kAfterHeader, std::to_string(wanted.after->value())});
-    request.headers.push_back({kEraHeader, std::to_string(wanted.after->era().value())});
+    call.headers.push_back({kAfterHeader, std::to_string(wanted.after->value())});
+    call.headers.push_back({kEraHeader, std::to_string(wanted.after->era().value())});
   }
   if (!options_.listen.empty()) {
-    request.headers.push_back({kAskerHeader, options_.listen.value()});
+    call.headers.push_back({kRequesterHeader, options_.listen.value()});
   }
-  deps_.client.fetch(std::move(request), [done = std::move(done)](auto result) {
+  deps_.client.fetch(std::move(call), [done = std::move(done)](auto result) {
     if (!result) {
       done({});
     } else if (result.value().head.status == 200) {
--- a/src/gateway_node/view_exchange.h
+++ b/src/gateway_node/view_exchange.h
@@ -1,5 +1,4 @@
-// Hands this node's view of the fleet, or what has changed in it, to other nodes, and fetches
-// theirs.
+// Serves this node's view of the fleet, or the changes in it, to other nodes, and fetches theirs.
 #pragma once
 
 #include <cstddef>
@@ -20,14 +19,17 @@
 
 namespace ochrespring::gateway_node {
 
-/// A view goes over compressed: 10,000 servers are some 1.2 MB plain. Askers that come at once get
-/// the same bytes. A node whose link is full names some of those that it has served in place of an
-/// answer, so that a view spreads as a tree. One loop.
+/// Transfers views compressed: 10,000 servers take about 1.2 MB uncompressed. Requests that arrive
+/// at about the same time share one encoded answer. A node whose link is full refuses requests and
+/// names some of the nodes that it has served instead, so that a view spreads as a tree. Not
+/// thread-safe; used on one event loop.
 class ViewExchange {
  public:
   using Transfer = std::optional<discovery::ViewTransfer>;
-  using AskedAfter = std::optional<shared_store::StoreRevision>;
+  /// The revision after which changes are requested; empty for the complete view.
+  using AfterRevision = std::optional<shared_store::StoreRevision>;
 
+  /// The referenced objects must outlive the ViewExchange.
   struct Dependencies {
     http::EventLoop& loop;
     http::Client& client;
@@ -36,60 +38,62 @@
   };
 
   struct Options {
-    Endpoint listen;              ///< Empty: nothing is served.
-    std::vector<Endpoint> seeds;  ///< Nodes to ask; this one may be among them, any may be down.
-    std::uint32_t link_mbps = 0;  ///< Of this machine's network link; 0: not known.
+    Endpoint listen;              ///< Empty if no views are served.
+    std::vector<Endpoint> seeds;  ///< Nodes to ask; may include this one and unreachable ones.
+    std::uint32_t link_mbps = 0;  ///< Speed of this machine's network link; 0 if unknown.
   };
 
-  /// `own_view` is called for other nodes' requests: what has changed since a revision, or all.
-  ViewExchange(Dependencies deps, Options options, std::function<Transfer(AskedAfter)> own_view);
+  /// `own_view` returns the changes after a revision, or the complete view, for the requests of
+  /// other nodes; nothing if there is no view.
+  ViewExchange(Dependencies deps, Options options, std::function<Transfer(AfterRevision)> own_view);
 
   Result<void, http::HttpError> listen();
-  /// The address bound, with its real port.
+  /// Returns the bound address, with the actual port.
   Endpoint bound() const { return server_.bound(); }
-  /// Another node offers its view at `source`.
+  /// Records that another node offers its view at `source`.
   void note_source(const Endpoint& source);
-  /// Asks the next of the seeds and of those that offered their view, or one of `others`, for its
-  /// whole view; calls back with none if it has no view or does not answer.
+  /// Requests the complete view of the next node in turn among those that offered their view, the
+  /// seeds and a random one of `others`. Calls `done` with nothing if there is no such node, or if
+  /// it has no view or does not answer.
   void fetch(const std::vector<Endpoint>& others, discovery::TransferCallback done);
-  /// Asks one node, which has said that it has a view, and if it serves too many already, one of
-  /// those that it names.
+  /// Requests the view of one node that has announced it. If that node refuses because its link is
+  /// full, requests it from one of the nodes that it names.
   void fetch_from(const discovery::ViewRequest& request, discovery::TransferCallback done);
 
  private:
-  static constexpr std::size_t kMostSources = 8;
-  /// Of those that were served last.
-  static constexpr std::size_t kMostServed = 16;
-  static constexpr std::size_t kMostKeptAnswers = 4;
+  static constexpr std::size_t kMaxSources = 8;
+  /// Number of most recently served nodes that are kept.
+  static constexpr std::size_t kMaxServed = 16;
+  static constexpr std::size_t kMaxCachedAnswers = 4;
 
-  /// An answer as it went over, for the next one that asks the same.
-  struct KeptAnswer {
-    AskedAfter after;
+  /// An encoded answer, kept for further requests of the same content.
+  struct CachedAnswer {
+    AfterRevision after;
     std::string bytes;
-    MonotonicTime made;
+    MonotonicTime created;
   };
-  /// What became of one request.
-  struct Outcome {
+  /// The result of one request.
+  struct FetchResult {
     Transfer transfer;
-    std::vector<Endpoint> others;  ///< Named by a node that could not serve.
+    std::vector<Endpoint> others;  ///< Nodes named by a node that refused.
   };
 
   void serve(const http::Request& request, http::ResponseWriter& response);
-  /// None: there is no view.
-  const KeptAnswer* answer_for(AskedAfter after);
+  /// Returns null if there is no view.
+  const CachedAnswer* answer_for(AfterRevision after);
   void refuse(http::ResponseWriter& response);
-  void note_served(const Endpoint& asker);
-  void ask(const discovery::ViewRequest& request, std::function<void(Outcome)> done);
+  void note_served(const Endpoint& requester);
+  void request(const discovery::ViewRequest& request, std::function<void(FetchResult)> done);
 
   Dependencies deps_;
   Options options_;
-  std::function<Transfer(AskedAfter)> own_view_;
+  std::function<Transfer(AfterRevision)> own_view_;
   http::Server server_;
   TransferBudget budget_;
-  std::deque<KeptAnswer> kept_;
-  std::deque<Endpoint> served_;   ///< The newest first.
-  std::deque<Endpoint> sources_;  ///< The newest offer first.
-  std::size_t next_ = 0;
+  std::deque<CachedAnswer> cached_answers_;
+  std::deque<Endpoint> served_;   ///< Newest first.
+  std::deque<Endpoint> sources_;  ///< Newest offer first.
+  std::size_t next_candidate_ = 0;
 };
 
 }  // namespace ochrespring::gateway_node
