--- a/src/gateway_node/gateway_node.h
+++ b/src/gateway_node/gateway_node.h
@@ -59,7 +59,7 @@
   void connect_profiles();
   /// Returns the view addresses of the nodes known so far.
   std::vector<Endpoint> known_view_addresses() const;
-  /// Learns which prompt parts engines have cached, once the fleet is first known.
+  /// Learns which prompt parts engines have cached, when this node first knows the fleet.
   void learn_cached_parts();
   void add_metrics(metrics::SampleSink& sink) const;
   void fetch_from_engine(const gateway::BackendId& engine, http::ClientRequest request,
--- a/src/gateway_node/node_duties.h
+++ b/src/gateway_node/node_duties.h
@@ -73,8 +73,8 @@
 
   Dependencies deps_;
   MonotonicTime started_;
-  std::optional<usage::WallClockEstimate>
-      wall_clock_;  ///< Set with the meter; samples permanently.
+  /// Set only with the meter, because it samples the clocks all the time.
+  std::optional<usage::WallClockEstimate> wall_clock_;
   usage::UsageTally tally_;
   std::optional<usage::UsageMeter> meter_;
   duties::DutyLease lease_;
--- a/src/gateway_node/peer_exchange.h
+++ b/src/gateway_node/peer_exchange.h
@@ -76,8 +76,8 @@
   void on_usage(std::function<void(const usage::UsageReport&)> callback) {
     usage_ = std::move(callback);
   }
-  /// Handle reports of requests that crashed back ends. `receive_for_relay` also passes them on to
-  /// the zone.
+  /// Handlers of reports on requests that crashed back ends. `receive_for_relay` also passes the
+  /// reports on to the zone.
   struct CrashHandlers {
     std::function<void(const quarantine::CrashReportBatch&)> receive;
     std::function<void(const quarantine::CrashReportBatch&)> receive_for_relay;
@@ -94,7 +94,7 @@
   void broadcast_crashes_to_zone(const quarantine::CrashReportBatch& batch) {
     channel_.broadcast_crashes_to_zone(batch);
   }
-  /// Handle reports of back ends' rate limits, and requests and replies for permits to send.
+  /// Handlers of reports on back ends' rate limits, and of requests and replies for send permits.
   struct LimitHandlers {
     std::function<void(const rate_limit::LimitReport&)> receive;
     std::function<void(const rate_limit::PermitRequest&)> receive_request;
@@ -106,7 +106,7 @@
   void broadcast_limits(const rate_limit::LimitReport& report) {
     channel_.broadcast_limits(report);
   }
-  /// Handle notices that back ends leave or ask for a back-off.
+  /// Handlers of notices that back ends leave or ask for a back-off.
   struct NoticeHandlers {
     std::function<void(const admission::BackendNotice&)> receive;
     /// Sends everything known to a node that has just started, by calls of `send`.
@@ -116,8 +116,8 @@
   void broadcast_notice(const admission::BackendNotice& notice) {
     channel_.broadcast_notice(notice);
   }
-  /// Handle reports of the measured speed of engines. `receive_for_relay` also passes them on to
-  /// the zone.
+  /// Handlers of reports on the measured speed of engines. `receive_for_relay` also passes the
+  /// reports on to the zone.
   struct ProfileHandlers {
     std::function<void(const engine_profiles::ProfileReport&)> receive;
     std::function<void(const engine_profiles::ProfileReport&)> receive_for_relay;
--- a/src/gateway_node/stop_sequence.h
+++ b/src/gateway_node/stop_sequence.h
@@ -11,8 +11,8 @@
 /// Times of the steps of a planned stop.
 struct StopTimes {
   /// From the stop signal until requests that may outlast the grace period are refused. Callers
-  /// rely on an answer from 3 s after the signal on; the remaining half second covers requests in
-  /// transit.
+  /// count on an answer from 3 s after the signal on; the half second before that covers requests
+  /// in transit.
   Duration refuse_long_after{std::chrono::milliseconds(2500)};
   /// Time for which callers may still use an old answer of the directory that contains this node.
   Duration directory_staleness{std::chrono::milliseconds(3500)};
--- a/src/gateway_node/view_exchange.h
+++ b/src/gateway_node/view_exchange.h
@@ -58,7 +58,7 @@
   void fetch(const std::vector<Endpoint>& others, discovery::TransferCallback done);
   /// Requests the view of one node that has announced it. If that node refuses because its link is
   /// full, requests it from one of the nodes that it names.
-  void fetch_from(const discovery::ViewRequest& request, discovery::TransferCallback done);
+  void fetch_from(const discovery::ViewRequest& wanted, discovery::TransferCallback done);
 
  private:
   static constexpr std::size_t kMaxSources = 8;
@@ -83,7 +83,7 @@
   const CachedAnswer* answer_for(AfterRevision after);
   void refuse(http::ResponseWriter& response);
   void note_served(const Endpoint& requester);
-  void request(const discovery::ViewRequest& request, std::function<void(FetchResult)> done);
+  void request(const discovery::ViewRequest& wanted, std::function<void(FetchResult)> done);
 
   Dependencies deps_;
   Options options_;
