--- a/src/gateway_node/node_duties.cc
+++ b/src/gateway_node/node_duties.cc
@@ -6,47 +6,47 @@
 
 namespace {
 
-/// All nodes may start at once, and register within this time: what the store said before does not
-/// tell who else there is.
-constexpr Duration kLearnsFleet = std::chrono::milliseconds(1000);
-/// A view of the fleet older than this tells nothing of who else there is.
-constexpr Duration kOldestView = std::chrono::seconds(5);
+/// All nodes may start at the same time and register within this time. A view from before then may
+/// lack nodes.
+constexpr Duration kRegistrationTime = std::chrono::milliseconds(1000);
+/// A view of the fleet older than this says nothing about which other nodes are running.
+constexpr Duration kMaxViewAge = std::chrono::seconds(5);
 
 }  // namespace
 
-NodeDuties::NodeDuties(World world, const NodeDutiesOptions& options, const Peers& peers)
-    : world_(world),
-      started_(world.clock.now()),
-      lease_({world.clock, world.timers, world.random, world.store, world.logger},
+NodeDuties::NodeDuties(Dependencies deps, const NodeDutiesOptions& options, const Peers& peers)
+    : deps_(deps),
+      started_(deps.clock.now()),
+      lease_({deps.clock, deps.timers, deps.random, deps.store, deps.logger},
              {.holder_key = options.key_prefix + "holder",
               .history_key = options.key_prefix + "history",
               .offset_key = options.key_prefix + "fence-offset",
               .node = options.node,
-              .incarnation = world.random.next(),
+              .incarnation = deps.random.next(),
               .time_to_live = options.lease},
-             {.to_claim = [this, first = peers.fitness.to_claim] { return may_claim(first); },
-              .to_hold = peers.fitness.to_hold}) {
-  if (world.usage_sink != nullptr) {
-    wall_.emplace(world.clock, world.timers);
-    meter_.emplace(*wall_, world.timers,
+             {.to_claim = [this, first = peers.eligibility.to_claim] { return may_claim(first); },
+              .to_hold = peers.eligibility.to_hold}) {
+  if (deps.usage_sink != nullptr) {
+    wall_clock_.emplace(deps.clock, deps.timers);
+    meter_.emplace(*wall_clock_, deps.timers,
                    usage::UsageMeterOptions{.node = options.node,
-                                            .incarnation = world.random.next(),
+                                            .incarnation = deps.random.next(),
                                             .windows = options.usage_windows,
                                             .retention = options.usage_due},
-                   [this, tell = peers.tell](const usage::UsageReport& report) {
+                   [this, send_usage = peers.send_usage](const usage::UsageReport& report) {
                      tally_.add(report);
-                     tell(report);
+                     send_usage(report);
                    });
-    reporter_.emplace(usage::UsageReporter::World{world.timers, world.store, world.logger, *wall_,
-                                                  lease_, tally_, *world.usage_sink},
+    reporter_.emplace(usage::UsageReporter::World{deps.timers, deps.store, deps.logger,
+                                                  *wall_clock_, lease_, tally_, *deps.usage_sink},
                       usage::UsageReporterOptions{.key_prefix = options.key_prefix + "usage/",
                                                   .windows = options.usage_windows,
                                                   .report_deadline = options.usage_due});
   }
-  if (world.server_provider != nullptr) {
+  if (deps.server_provider != nullptr) {
     servers_.emplace(
-        fleet_control::ServerController::World{world.clock, world.timers, world.store, world.logger,
-                                               world.fleet, lease_, *world.server_provider},
+        fleet_control::ServerController::World{deps.clock, deps.timers, deps.store, deps.logger,
+                                               deps.fleet, lease_, *deps.server_provider},
         fleet_control::ServerControllerOptions{.key_prefix = options.key_prefix + "servers/",
                                                .plan = options.server_plan});
   }
@@ -75,10 +75,10 @@
 }
 
 bool NodeDuties::may_claim(const std::function<bool()>& first_choice) const {
-  const MonotonicTime now = world_.clock.now();
-  const auto current_at = world_.fleet.current_at();
+  const MonotonicTime now = deps_.clock.now();
+  const auto current_at = deps_.fleet.current_at();
   const bool knows_fleet =
-      current_at && *current_at - started_ >= kLearnsFleet && now - *current_at < kOldestView;
+      current_at && *current_at - started_ >= kRegistrationTime && now - *current_at < kMaxViewAge;
   return knows_fleet && first_choice();
 }
 
@@ -88,18 +88,18 @@
   }
 }
 
-void NodeDuties::tell_usage() {
+void NodeDuties::flush_usage() {
   if (meter_) {
     meter_->flush();
   }
 }
 
 void NodeDuties::leave() {
-  tell_usage();
+  flush_usage();
   lease_.stop();
 }
 
-void NodeDuties::on_store_set_back() {
+void NodeDuties::on_store_rolled_back() {
   lease_.on_store_rolled_back();
   if (reporter_) {
     reporter_->on_store_rolled_back();
@@ -107,27 +107,28 @@
 }
 
 void NodeDuties::add_metrics(metrics::SampleSink& sink) const {
-  sink.gauge({"duties_held", "Whether this node may act for all"}, lease_.fence() ? 1 : 0);
-  sink.counter({"duties_gained", "Times this node began to hold the duties"},
+  sink.gauge({"duties_held", "Whether this node may perform the duties of the fleet"},
+             lease_.fence() ? 1 : 0);
+  sink.counter({"duties_gained", "Times this node acquired the lease of the duties"},
                static_cast<double>(lease_.times_gained()));
   if (reporter_) {
     const usage::UsageReporterStatistics& counts = reporter_->statistics();
-    sink.counter({"usage_windows_reported", "Windows of usage reported"},
+    sink.counter({"usage_windows_reported", "Usage windows reported"},
                  static_cast<double>(counts.reported));
-    sink.counter({"usage_windows_missed", "Windows of usage not reported in time"},
+    sink.counter({"usage_windows_missed", "Usage windows not reported in time"},
                  static_cast<double>(counts.missed));
-    sink.counter({"usage_reports_refused", "Reports of usage refused for a higher fence"},
+    sink.counter({"usage_reports_refused", "Usage reports refused because of a higher fence"},
                  static_cast<double>(counts.refused));
   }
   if (servers_) {
     const fleet_control::ServerControllerStatistics& counts = servers_->statistics();
-    sink.counter({"server_orders", "Orders of servers"}, static_cast<double>(counts.orders));
-    sink.counter({"server_orders_failed", "Of these, without an answer or an effect"},
+    sink.counter({"server_orders", "Server orders sent"}, static_cast<double>(counts.orders));
+    sink.counter({"server_orders_failed", "Server orders without an answer or an effect"},
                  static_cast<double>(counts.failed));
-    sink.counter({"server_orders_refused", "Of these, refused"},
+    sink.counter({"server_orders_refused", "Server orders refused"},
                  static_cast<double>(counts.refused));
     for (const auto& [service, needed] : servers_->needed()) {
-      sink.gauge({"servers_needed", "Servers that a service needs"}, needed,
+      sink.gauge({"servers_needed", "Servers needed by the service"}, needed,
                  {{"service", service.value()}});
     }
   }
