--- a/src/gateway_node/tests/rate_limit_test.cc
+++ b/src/gateway_node/tests/rate_limit_test.cc
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "gateway_node/tests/crash_fleet.h"
-#include "gateway_node/tests/rate_limit_judge.h"
+#include "gateway_node/tests/rate_limit_checker.h"
 
 using namespace ochrespring;
 using namespace ochrespring::gateway_node::testing;
--- a/src/gateway_node/tests/server_backoff_test.cc
+++ b/src/gateway_node/tests/server_backoff_test.cc
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "gateway_node/tests/backoff_judge.h"
+#include "gateway_node/tests/backoff_checker.h"
 #include "gateway_node/tests/crash_fleet.h"
 
 using namespace ochrespring;
