--- a/src/gateway_node/tests/transfer_budget_test.cc
+++ b/src/gateway_node/tests/transfer_budget_test.cc
@@ -1,4 +1,4 @@
-// How many transfers a link is trusted with.
+// The number of view transfers that a link admits.
 #include "gateway_node/transfer_budget.h"
 
 #include <doctest/doctest.h>
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Transfers of 300 KB that are admitted at one moment.
+/// Number of transfers of 300 KB that are admitted at the same time, up to 1000.
 int admitted_at_once(std::uint32_t link_mbps) {
   TransferBudget budget(link_mbps);
   int admitted = 0;
@@ -23,13 +23,13 @@
 
 }  // namespace
 
-TEST_CASE("a link takes as many transfers as leave it while askers wait") {
+TEST_CASE("a link admits as many transfers as it can finish while askers wait") {
   CHECK(admitted_at_once(20) == 1);
   CHECK(admitted_at_once(200) == 16);
   CHECK(admitted_at_once(0) == 1000);
 }
 
-TEST_CASE("a transfer larger than the link carries in time goes alone") {
+TEST_CASE("a transfer larger than the link can send in time is admitted alone") {
   TransferBudget budget(20);
   CHECK(budget.admit(10'000'000, MonotonicTime{}));
   CHECK_FALSE(budget.admit(1, MonotonicTime{} + 1s));
--- a/src/gateway_node/tests/unnamed_era_test.cc
+++ b/src/gateway_node/tests/unnamed_era_test.cc
@@ -1,7 +1,6 @@
-// A platform that names no life of its store: an older copy that has counted past what was known
-// before anybody read it answers looks as if nothing were missing, and what was written under the
-// numbers up to there reaches nobody. Found by reading; a store that names its lives is not
-// concerned.
+// Guards against changes that no node sees when the store names no era: a store restored from an
+// older copy that is past the last known revision before any node reads it answers polls as if
+// nothing were missing. Changes written under the revisions up to there reach no node.
 #include <doctest/doctest.h>
 
 #include <string>
@@ -12,10 +11,10 @@
 using namespace ochrespring::gateway_node;
 using namespace ochrespring::gateway_node::testing;
 
-TEST_CASE("a drain in a life of the store that nobody was told of reaches all nodes") {
+TEST_CASE("a drain in a store era that was not announced reaches all nodes") {
   LargeFleet fleet(6, 0.0);
   fleet.start();
-  fleet.servers_write = false;
+  fleet.heartbeats_enabled = false;
   const StoreState::Copy copy = fleet.state.copy();
   for (int i = 0; i != 4; ++i) {
     fleet.state.put("other/" + std::to_string(i), "value");
@@ -24,12 +23,12 @@
   fleet.state.down = true;
   fleet.advance(2s);
   const shared_store::StoreEra unnamed = fleet.state.era;
-  fleet.state.set_back_to(copy);
+  fleet.state.roll_back_to(copy);
   fleet.state.era = unnamed;
   for (auto& [key, item] : fleet.state.items) {
     item.revision = shared_store::StoreRevision(item.revision.value(), unnamed);
   }
-  fleet.state.forgotten_through = {};
+  fleet.state.discarded_through = {};
   fleet.state.put("backends/e7", "draining");
   for (int i = 0; i != 6; ++i) {
     fleet.state.put("later/" + std::to_string(i), "value");
--- a/src/gateway_node/tests/unnamed_fleet.h
+++ b/src/gateway_node/tests/unnamed_fleet.h
@@ -1,4 +1,4 @@
-// A fleet before a store that names no era.
+// A fleet whose store names no era in its answers.
 #pragma once
 
 #include <string>
@@ -7,28 +7,28 @@
 
 namespace ochrespring::gateway_node::testing {
 
-/// Of a bound of 4 s: as long as a change may take to all nodes while the store answers.
-inline constexpr Duration kToAllNodes = 3400ms;
+/// Longest time until all nodes know a change while the store answers, of a staleness bound of 4 s.
+inline constexpr Duration kPropagationBound = 3400ms;
 
-struct UnnamedFleet : LargeFleet {
-  explicit UnnamedFleet(int node_count, bool heartbeats = false, double loss = 0.0)
+struct UnnamedEraFleet : LargeFleet {
+  explicit UnnamedEraFleet(int node_count, bool heartbeats = false, double loss = 0.0)
       : LargeFleet(node_count, loss) {
     state.names_era = false;
     start();
-    servers_write = heartbeats;
-    advance(kToAllNodes);
+    heartbeats_enabled = heartbeats;
+    advance(kPropagationBound);
   }
-  /// The store is out, and comes back as it was at the copy; what is written from then on is there
-  /// before anybody reads it.
+  /// The store is unavailable for 2 s and is then restored from the copy. Calls `writes` before any
+  /// node reads the store.
   template <class Writes>
-  void come_back_as(const StoreState::Copy& copy, const Writes& writes) {
+  void restore_from(const StoreState::Copy& copy, const Writes& writes) {
     state.down = true;
     advance(2s);
-    state.set_back_to(copy);
+    state.roll_back_to(copy);
     writes();
     state.down = false;
   }
-  void write_others(const std::string& prefix, int count) {
+  void write_other_keys(const std::string& prefix, int count) {
     for (int i = 0; i != count; ++i) {
       state.put(prefix + std::to_string(i), "value");
     }
@@ -39,14 +39,13 @@
       return known != nullptr && known->draining;
     });
   }
-  std::size_t count_in_second_life() const {
+  std::size_t count_in_second_era() const {
     return count([](const FleetNode& node) { return node.watcher.statistics().eras_begun == 1; });
   }
-  bool views_are_of_the_store() const {
-    return count([&](const FleetNode& node) { return is_of_the_store(node.fleet); }) ==
-           nodes.size();
+  bool views_match_store() const {
+    return count([&](const FleetNode& node) { return matches_store(node.fleet); }) == nodes.size();
   }
-  bool is_of_the_store(const gateway::FleetState& view) const {
+  bool matches_store(const gateway::FleetState& view) const {
     std::size_t live = 0;
     for (const auto& [key, item] : state.items) {
       if (!item.value || !key.starts_with("backends/")) {
--- a/src/gateway_node/tests/unnamed_lives_test.cc
+++ b/src/gateway_node/tests/unnamed_lives_test.cc
@@ -1,5 +1,6 @@
-// A store that names no era comes back from an older copy and counts past what was known before
-// anybody reads it: drains written under numbers that had been given out before reached no node.
+// Eras of a store that does not name them. Guards against drains that reach no node: the store is
+// restored from an older copy and is past the last known revision before any node reads it, and the
+// drains were written under revisions that had been assigned before.
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
@@ -12,93 +13,93 @@
 using namespace ochrespring::gateway_node;
 using namespace ochrespring::gateway_node::testing;
 
-TEST_CASE("a drain reaches all nodes, however many changes were lost and made anew unnoticed") {
+TEST_CASE("a drain reaches all nodes however many changes were lost and written unnoticed") {
   for (const int lost : {1, 4, 12}) {
-    // So many are made anew beyond those that were lost.
+    // Number of new changes beyond those that were lost.
     for (const int beyond : {0, 1, 200}) {
       for (const bool heartbeats : {false, true}) {
         CAPTURE(lost);
         CAPTURE(beyond);
         CAPTURE(heartbeats);
-        UnnamedFleet fleet(6, heartbeats);
+        UnnamedEraFleet fleet(6, heartbeats);
         const StoreState::Copy copy = fleet.state.copy();
-        fleet.write_others("other/", lost);
-        fleet.advance(kToAllNodes);
+        fleet.write_other_keys("other/", lost);
+        fleet.advance(kPropagationBound);
         const std::uint64_t seen = fleet.state.revision;
-        fleet.come_back_as(copy, [&] {
+        fleet.restore_from(copy, [&] {
           fleet.state.put("backends/e7", "draining");
           while (fleet.state.revision < seen + static_cast<std::uint64_t>(beyond)) {
             fleet.state.put("later/" + std::to_string(fleet.state.revision), "value");
           }
         });
-        fleet.advance(kToAllNodes);
+        fleet.advance(kPropagationBound);
         CHECK(fleet.count_draining("e7") == fleet.nodes.size());
-        CHECK(fleet.count_in_second_life() == fleet.nodes.size());
+        CHECK(fleet.count_in_second_era() == fleet.nodes.size());
       }
     }
   }
 }
 
-TEST_CASE("a deletion that stood at the newest number is told from what stands there now") {
-  UnnamedFleet fleet(6);
+TEST_CASE("a deletion at the newest known revision is distinguished from a new change there") {
+  UnnamedEraFleet fleet(6);
   fleet.state.put("other/gone", "value");
-  fleet.advance(kToAllNodes);
+  fleet.advance(kPropagationBound);
   const StoreState::Copy copy = fleet.state.copy();
   fleet.state.put("other/gone", std::nullopt);
-  fleet.advance(kToAllNodes);
-  fleet.come_back_as(copy, [&] {
+  fleet.advance(kPropagationBound);
+  fleet.restore_from(copy, [&] {
     fleet.state.put("backends/e7", "draining");
-    fleet.write_others("later/", 3);
+    fleet.write_other_keys("later/", 3);
   });
-  fleet.advance(kToAllNodes);
+  fleet.advance(kPropagationBound);
   CHECK(fleet.count_draining("e7") == fleet.nodes.size());
 }
 
-TEST_CASE("a node that was cut off all the while learns of the life that the others found") {
-  UnnamedFleet fleet(6);
+TEST_CASE("a node cut off during the restore learns of the era that the others detected") {
+  UnnamedEraFleet fleet(6);
   FleetNode& away = *fleet.nodes[4];
   const StoreState::Copy copy = fleet.state.copy();
-  fleet.write_others("other/", 4);
-  fleet.advance(kToAllNodes);
+  fleet.write_other_keys("other/", 4);
+  fleet.advance(kPropagationBound);
   away.cut_off = true;
-  fleet.come_back_as(copy, [&] {
+  fleet.restore_from(copy, [&] {
     fleet.state.put("backends/e7", "draining");
-    fleet.write_others("later/", 20);
+    fleet.write_other_keys("later/", 20);
   });
-  fleet.advance(kToAllNodes);
+  fleet.advance(kPropagationBound);
   away.cut_off = false;
-  fleet.advance(kToAllNodes);
+  fleet.advance(kPropagationBound);
   CHECK(fleet.count_draining("e7") == fleet.nodes.size());
-  CHECK(fleet.count_in_second_life() == fleet.nodes.size());
+  CHECK(fleet.count_in_second_era() == fleet.nodes.size());
 }
 
-TEST_CASE("large fleets find it by their readers, within the bound and without a storm") {
+TEST_CASE("large fleets detect the new era through their readers in time and with few reads") {
   for (const int count : {20, 66, 195}) {
     CAPTURE(count);
-    UnnamedFleet fleet(count, true, 0.01);
+    UnnamedEraFleet fleet(count, true, 0.01);
     const StoreState::Copy copy = fleet.state.copy();
-    fleet.write_others("other/", 4);
-    fleet.advance(kToAllNodes);
+    fleet.write_other_keys("other/", 4);
+    fleet.advance(kPropagationBound);
     const std::uint64_t seen = fleet.state.revision;
-    fleet.come_back_as(copy, [&] {
+    fleet.restore_from(copy, [&] {
       fleet.state.put("backends/e7", "draining");
       while (fleet.state.revision < seen + 300) {
         fleet.state.put("later/" + std::to_string(fleet.state.revision), "value");
       }
     });
     const std::uint64_t reads = fleet.state.reads;
-    fleet.advance(kToAllNodes);
+    fleet.advance(kPropagationBound);
     MESSAGE("reads of the store: " << fleet.state.reads - reads);
     CHECK(fleet.count_draining("e7") == fleet.nodes.size());
-    CHECK(fleet.count_in_second_life() == fleet.nodes.size());
+    CHECK(fleet.count_in_second_era() == fleet.nodes.size());
     CHECK(fleet.state.reads - reads < static_cast<std::uint64_t>(count) + 20);
   }
 }
 
-TEST_CASE("a quiet store that has forgotten what was known last is not listed again and again") {
-  UnnamedFleet fleet(6);
-  fleet.state.forget_history();
-  fleet.advance(kToAllNodes);
+TEST_CASE("an idle store that discarded the last known change is not listed repeatedly") {
+  UnnamedEraFleet fleet(6);
+  fleet.state.discard_history();
+  fleet.advance(kPropagationBound);
   const auto listings = [&] {
     std::uint64_t sum = 0;
     for (const auto& node : fleet.nodes) {
@@ -110,16 +111,16 @@
   const std::uint64_t reads = fleet.state.reads;
   fleet.advance(20s);
   CHECK(listings() == before);
-  // A look of one of the six in each second or somewhat more.
+  // About one poll per second by one of the six nodes.
   CHECK(fleet.state.reads - reads <= 25);
-  // Nothing tells any more whether the store that comes back is the same: it is listed.
-  fleet.come_back_as(fleet.state.copy(), [] {});
-  fleet.advance(kToAllNodes);
+  // Nothing shows any more whether the store is the same after an outage, so it is listed.
+  fleet.restore_from(fleet.state.copy(), [] {});
+  fleet.advance(kPropagationBound);
   CHECK(listings() > before);
 }
 
-TEST_CASE("in one life of the store nobody takes it for another, whatever is written") {
-  UnnamedFleet fleet(6, true, 0.05);
+TEST_CASE("no write within one store era is taken for a new era") {
+  UnnamedEraFleet fleet(6, true, 0.05);
   for (int i = 0; i != 60; ++i) {
     fleet.state.put("backends/e" + std::to_string(i % 7), i % 3 == 0 ? "draining" : "ready");
     if (i % 5 == 0) {
@@ -129,34 +130,34 @@
     fleet.advance(700ms);
   }
   fleet.state.down = false;
-  fleet.advance(kToAllNodes);
+  fleet.advance(kPropagationBound);
   CHECK(fleet.count([](const FleetNode& node) {
     return node.watcher.statistics().unannounced_eras != 0;
   }) == 0);
 }
 
-TEST_CASE("whatever was known, lost and written anew, views are those of the store again") {
-  // Writes of a key each: of a back end (ready, draining, gone) or of something else.
+TEST_CASE("views match the restored store whatever was known, lost and written again") {
+  // Each write changes one key: a back end (ready, draining, deleted) or another key.
   using Writes = std::vector<std::uint8_t>;
-  const auto write = [](UnnamedFleet& fleet, const Writes& writes) {
+  const auto write = [](UnnamedEraFleet& fleet, const Writes& writes) {
     static const std::vector<std::optional<std::string>> values{"ready", "draining", std::nullopt};
-    for (const std::uint8_t what : writes) {
-      const std::string name = std::to_string(what / 4 % 8);
-      if (what % 4 == 3) {
+    for (const std::uint8_t code : writes) {
+      const std::string name = std::to_string(code / 4 % 8);
+      if (code % 4 == 3) {
         fleet.state.put("other/" + name, std::to_string(fleet.state.revision));
       } else {
-        fleet.state.put("backends/p" + name, values[what % 4]);
+        fleet.state.put("backends/p" + name, values[code % 4]);
       }
     }
   };
   CHECK(rc::check([&](const Writes& before, const Writes& lost, const Writes& later) {
-    UnnamedFleet fleet(2);
+    UnnamedEraFleet fleet(2);
     write(fleet, before);
     const StoreState::Copy copy = fleet.state.copy();
     write(fleet, lost);
-    fleet.advance(kToAllNodes);
-    fleet.come_back_as(copy, [&] { write(fleet, later); });
-    fleet.advance(kToAllNodes);
-    RC_ASSERT(fleet.views_are_of_the_store());
+    fleet.advance(kPropagationBound);
+    fleet.restore_from(copy, [&] { write(fleet, later); });
+    fleet.advance(kPropagationBound);
+    RC_ASSERT(fleet.views_match_store());
   }));
 }
--- a/src/gateway_node/tests/view_exchange_test.cc
+++ b/src/gateway_node/tests/view_exchange_test.cc
@@ -1,4 +1,4 @@
-// Views handed from node to node over loopback.
+// Transfer of views from node to node over loopback.
 #include "gateway_node/view_exchange.h"
 
 #include <doctest/doctest.h>
@@ -21,7 +21,7 @@
   return view;
 }
 
-struct ExchangeWorld {
+struct ViewExchangeFixture {
   operator ViewExchange::World() { return {loop, client, clock, random}; }
 
   http::EventLoop loop;
@@ -30,7 +30,7 @@
   SeededRandom random{3};
 };
 
-/// What a node without a view gets from the seeds, one after another.
+/// Runs one fetch by a node without a view, which asks one seed per call.
 ViewExchange::Transfer fetch_once(http::EventLoop& loop, ViewExchange& asker) {
   ViewExchange::Transfer fetched;
   asker.fetch({}, [&](ViewExchange::Transfer view) {
@@ -43,21 +43,21 @@
 
 }  // namespace
 
-TEST_CASE("a view goes over whole, and seeds that are down or empty are passed over") {
-  ExchangeWorld world;
-  ViewExchange full(world, {.listen = Endpoint("127.0.0.1:0"), .seeds = {}},
+TEST_CASE("a view is transferred completely, and seeds that are down or have no view are skipped") {
+  ViewExchangeFixture fixture;
+  ViewExchange full(fixture, {.listen = Endpoint("127.0.0.1:0"), .seeds = {}},
                     [](auto) { return make_view(); });
-  ViewExchange empty(world, {.listen = Endpoint("127.0.0.1:0"), .seeds = {}},
+  ViewExchange empty(fixture, {.listen = Endpoint("127.0.0.1:0"), .seeds = {}},
                      [](auto) { return std::nullopt; });
   REQUIRE(full.listen());
   REQUIRE(empty.listen());
   ViewExchange asker(
-      world, {.listen = {}, .seeds = {empty.bound(), Endpoint("127.0.0.1:1"), full.bound()}},
+      fixture, {.listen = {}, .seeds = {empty.bound(), Endpoint("127.0.0.1:1"), full.bound()}},
       [](auto) { return std::nullopt; });
   REQUIRE(asker.listen());
-  CHECK_FALSE(fetch_once(world.loop, asker));
-  CHECK_FALSE(fetch_once(world.loop, asker));
-  const auto view = fetch_once(world.loop, asker);
+  CHECK_FALSE(fetch_once(fixture.loop, asker));
+  CHECK_FALSE(fetch_once(fixture.loop, asker));
+  const auto view = fetch_once(fixture.loop, asker);
   REQUIRE(view);
   const auto& snapshot = std::get<discovery::ViewSnapshot>(*view);
   CHECK(snapshot.through == shared_store::StoreRevision(12));
@@ -65,33 +65,34 @@
   CHECK(snapshot.backends.size() == 90);
 }
 
-TEST_CASE("a node that has offered its view is asked before the seeds") {
-  ExchangeWorld world;
-  ViewExchange full(world, {.listen = Endpoint("127.0.0.1:0"), .seeds = {}},
+TEST_CASE("a node that offered its view is asked before the seeds") {
+  ViewExchangeFixture fixture;
+  ViewExchange full(fixture, {.listen = Endpoint("127.0.0.1:0"), .seeds = {}},
                     [](auto) { return make_view(); });
   REQUIRE(full.listen());
-  ViewExchange asker(world, {.listen = {}, .seeds = {Endpoint("127.0.0.1:1")}},
+  ViewExchange asker(fixture, {.listen = {}, .seeds = {Endpoint("127.0.0.1:1")}},
                      [](auto) { return std::nullopt; });
-  CHECK_FALSE(fetch_once(world.loop, asker));
+  CHECK_FALSE(fetch_once(fixture.loop, asker));
   for (int i = 0; i != 20; ++i) {
     asker.note_source(Endpoint("127.0.0.1:" + std::to_string(2 + i)));
   }
   asker.note_source(full.bound());
-  CHECK(fetch_once(world.loop, asker));
+  CHECK(fetch_once(fixture.loop, asker));
 }
 
-TEST_CASE("without seeds there is no view") {
-  ExchangeWorld world;
-  ViewExchange asker(world, {}, [](auto) { return std::nullopt; });
+TEST_CASE("a fetch without seeds returns no view") {
+  ViewExchangeFixture fixture;
+  ViewExchange asker(fixture, {}, [](auto) { return std::nullopt; });
   bool answered = false;
   asker.fetch({}, [&](const ViewExchange::Transfer& view) { answered = !view; });
   CHECK(answered);
 }
 
-TEST_CASE("what has changed goes over alone, and its age counts on while the answer is kept") {
-  ExchangeWorld world;
+TEST_CASE(
+    "a delta is transferred without the full view, and its age includes the time it was cached") {
+  ViewExchangeFixture fixture;
   int made = 0;
-  ViewExchange holder(world, {.listen = Endpoint("127.0.0.1:0"), .seeds = {}}, [&](auto after) {
+  ViewExchange holder(fixture, {.listen = Endpoint("127.0.0.1:0"), .seeds = {}}, [&](auto after) {
     ++made;
     discovery::ViewDelta delta;
     delta.after = after.value();
@@ -100,14 +101,14 @@
     return discovery::ViewTransfer(delta);
   });
   REQUIRE(holder.listen());
-  ViewExchange asker(world, {.listen = {}, .seeds = {}}, [](auto) { return std::nullopt; });
+  ViewExchange asker(fixture, {.listen = {}, .seeds = {}}, [](auto) { return std::nullopt; });
   for (int i = 0; i != 2; ++i) {
     ViewExchange::Transfer fetched;
     asker.fetch_from({holder.bound(), shared_store::StoreRevision(20)}, [&](auto transfer) {
       fetched = std::move(transfer);
-      world.loop.stop();
+      fixture.loop.stop();
     });
-    world.loop.run();
+    fixture.loop.run();
     REQUIRE(fetched);
     const auto& delta = std::get<discovery::ViewDelta>(*fetched);
     CHECK(delta.after == shared_store::StoreRevision(20));
@@ -116,33 +117,33 @@
   CHECK(made <= 2);
 }
 
-TEST_CASE("a holder whose link is full names those it has served, and these are asked") {
-  ExchangeWorld world;
-  // One view of random bytes takes a link of 1 Mbit/s for seconds.
+TEST_CASE("a holder with a saturated link refers askers to nodes it has served") {
+  ViewExchangeFixture fixture;
+  // One view of random bytes, which do not compress, occupies a link of 1 Mbit/s for seconds.
   const auto make_large_view = [&](auto) {
     discovery::ViewSnapshot view = make_view();
     for (char& byte : view.configuration) {
-      byte = static_cast<char>(world.random.below(256));
+      byte = static_cast<char>(fixture.random.below(256));
     }
     return discovery::ViewTransfer(view);
   };
-  ViewExchange full(world, {.listen = Endpoint("127.0.0.1:0"), .seeds = {}, .link_mbps = 1},
+  ViewExchange full(fixture, {.listen = Endpoint("127.0.0.1:0"), .seeds = {}, .link_mbps = 1},
                     make_large_view);
   REQUIRE(full.listen());
-  ViewExchange served(world, {.listen = Endpoint("127.0.0.1:0"), .seeds = {}}, make_large_view);
+  ViewExchange served(fixture, {.listen = Endpoint("127.0.0.1:0"), .seeds = {}}, make_large_view);
   REQUIRE(served.listen());
-  ViewExchange first(world, {.listen = served.bound(), .seeds = {full.bound()}},
+  ViewExchange first(fixture, {.listen = served.bound(), .seeds = {full.bound()}},
                      [](auto) { return std::nullopt; });
-  CHECK(fetch_once(world.loop, first));
-  ViewExchange second(world, {.listen = Endpoint("127.0.0.1:1"), .seeds = {full.bound()}},
+  CHECK(fetch_once(fixture.loop, first));
+  ViewExchange second(fixture, {.listen = Endpoint("127.0.0.1:1"), .seeds = {full.bound()}},
                       [](auto) { return std::nullopt; });
-  CHECK(fetch_once(world.loop, second));
-  ViewExchange third(world, {.listen = {}, .seeds = {}}, [](auto) { return std::nullopt; });
+  CHECK(fetch_once(fixture.loop, second));
+  ViewExchange third(fixture, {.listen = {}, .seeds = {}}, [](auto) { return std::nullopt; });
   bool answered = false;
   third.fetch_from({full.bound(), shared_store::StoreRevision(3)}, [&](const auto& transfer) {
     answered = transfer.has_value();
-    world.loop.stop();
+    fixture.loop.stop();
   });
-  world.loop.run();
+  fixture.loop.run();
   CHECK(answered);
 }
