--- a/src/gateway_node/tests/crashing_request_test.cc
+++ b/src/gateway_node/tests/crashing_request_test.cc
@@ -34,11 +34,11 @@
 }
 
 std::size_t max_late_retries(const CrashFleet& fleet) {
-  std::size_t most = 0;
+  std::size_t max_retries = 0;
   for (const std::string& body : fleet.crashing_bodies) {
-    most = std::max(most, fleet.late_retries(body));
+    max_retries = std::max(max_retries, fleet.late_retries(body));
   }
-  return most;
+  return max_retries;
 }
 
 double share_served(const CallerCounts& counts) {
--- a/src/gateway_node/tests/rate_limit_checker.h
+++ b/src/gateway_node/tests/rate_limit_checker.h
@@ -26,7 +26,7 @@
   /// Requests per second from all nodes, from `kSettlingTime` after `from` on.
   double rate = 0;
 
-  bool within_limit() const { return static_cast<double>(worst) <= allowed; }
+  bool within_limit() const { return static_cast<double>(max_requests) <= allowed; }
 };
 
 constexpr Duration kLimitWindow = 4s;
--- a/src/gateway_node/tests/server_backoff_test.cc
+++ b/src/gateway_node/tests/server_backoff_test.cc
@@ -134,18 +134,18 @@
   fleet.advance(1500ms);
   for (std::size_t node = 0; node != fleet.nodes.size(); ++node) {
     CAPTURE(node);
-    Duration least = Duration::max();
+    Duration min_wait = Duration::max();
     for (const CrashFleet::SentNotice& notice : fleet.sent_backoffs) {
       if (notice.node == node) {
-        least = std::min(least, notice.at + notice.span - fleet.time.now());
+        min_wait = std::min(min_wait, notice.at + notice.span - fleet.time.now());
       }
     }
-    REQUIRE(least != Duration::max());
+    REQUIRE(min_wait != Duration::max());
     const auto caller = fleet.start_request(node, "/idempotent/x", "late");
     fleet.advance(100ms);
     REQUIRE(caller->finished);
     CHECK(caller->head.status == 503);
-    CHECK(std::stod(caller->header("retry-after")) >= to_seconds(least) - 0.1);
+    CHECK(std::stod(caller->header("retry-after")) >= to_seconds(min_wait) - 0.1);
   }
 }
 
