--- a/src/base/random.h
+++ b/src/base/random.h
@@ -39,8 +39,8 @@
   std::mt19937_64 engine_;
 };
 
-/// Seed from the operating system, for production use. Not taken from a CPU instruction, so that
-/// runs are reproducible where the operating system is simulated.
+/// Seed for production use, from getentropy() rather than a CPU instruction, so that runs are
+/// reproducible where the operating system is simulated. Falls back to std::random_device.
 std::uint64_t entropy_seed();
 
 }  // namespace ochrespring
--- a/src/base/time.h
+++ b/src/base/time.h
@@ -1,4 +1,4 @@
-// Time types and clocks: a monotonic clock for deadlines, a wall clock for logs only.
+// Time types and clocks: a monotonic clock for deadlines, a wall clock for logs and usage windows.
 #pragma once
 
 #include <chrono>
@@ -21,7 +21,7 @@
 /// Time point of one machine's monotonic clock.
 using MonotonicTime = std::chrono::time_point<MonotonicDomain, Duration>;
 
-/// Time point of the wall clock; for display, never for a safety decision.
+/// Time point of the wall clock. It may jump, so leases must not depend on it.
 using WallTime = std::chrono::time_point<std::chrono::system_clock, Duration>;
 
 /// Source of time, injected so that simulation can replace it. Implementations are thread-safe.
--- a/src/duties/duty_lease.cc
+++ b/src/duties/duty_lease.cc
@@ -179,7 +179,7 @@
 void DutyLease::apply_stored_offset(std::string_view bytes) {
   const auto stored = wire::decode<FenceOffset>(bytes);
   if (!stored) {
-    // Computed from the era alone, the offset is at least as high as any earlier one.
+    // An offset computed from era 0 is at least as high as every offset stored before.
     log("stored fence offset cannot be decoded", stored.error().message);
     claim_.stored_offset = FenceOffset();
     return;
--- a/src/duties/duty_lease.h
+++ b/src/duties/duty_lease.h
@@ -30,8 +30,10 @@
   /// Subtracted from the time to live, so that a call sent before the deadline also arrives before
   /// the lease expires.
   Duration safety_margin{std::chrono::milliseconds(400)};
-  Duration renewal_period{std::chrono::milliseconds(900)};       ///< Interval between renewals.
-  Duration renewal_retry_delay{std::chrono::milliseconds(300)};  ///< Delay after a failed renewal.
+  Duration renewal_period{std::chrono::milliseconds(900)};  ///< Interval between renewals.
+  /// Delay after a failed renewal. A renewal without an answer is sent again after twice this
+  /// delay.
+  Duration renewal_retry_delay{std::chrono::milliseconds(300)};
   Duration claim_period{std::chrono::milliseconds(1500)};  ///< Average interval between claims.
   /// Minimum delay before eligibility is checked again. The check makes no store call.
   Duration eligibility_poll_period{std::chrono::milliseconds(300)};
@@ -88,7 +90,7 @@
   void on_gained(std::function<void()> callback) { on_gained_ = std::move(callback); }
   std::uint64_t times_gained() const { return times_gained_; }
 
-  /// Chart hooks.
+  /// Called by the state machine of the chart.
   bool evaluate(statechart::DutyLease::Guard guard) const;
   void run(statechart::DutyLease::Action action);
 
@@ -99,7 +101,9 @@
 
   void post(Event event);
   void schedule_claim();
-  /// A claim consists of five consecutive calls; the first failure ends it.
+  /// A claim makes up to five store calls in sequence: read holder, history and fence offset, grant
+  /// a lease, commit. The first failure ends it. If the holder entry already names this
+  /// incarnation, only the fence offset is read after it.
   void read_holder();
   void read_history();
   void read_offset();
--- a/src/duties/errc.h
+++ b/src/duties/errc.h
@@ -8,11 +8,11 @@
 namespace ochrespring::duties {
 
 enum class DutyErrc {
-  kNotDone,        ///< No effect: no connection, or the other side reported it.
+  kNotDone,        ///< No effect: no connection, or the receiver reported a failure.
   kUnknownEffect,  ///< No answer: the call may have been executed, or may still be.
   kRateLimited,    ///< Too many calls; no effect.
-  kRefused,        ///< Not retryable: the other side knows a higher fence, or the request cannot be
-                   ///< granted now.
+  kRefused,        ///< No effect: a higher fence was seen (do not retry), or the request cannot be
+                   ///< granted at present (may be retried later).
 };
 
 using DutyError = LayerError<DutyErrc>;
--- a/src/duties/tests/duty_lease_test.cc
+++ b/src/duties/tests/duty_lease_test.cc
@@ -40,7 +40,7 @@
 
 struct Candidate {
   Candidate(simulation::VirtualTime& time, StoreState& state, std::size_t number,
-            std::uint64_t incarnation, const Defects& defects, std::function<bool()> first)
+            std::uint64_t incarnation, const Defects& defects, std::function<bool()> may_claim)
       : machine(time),
         random(incarnation),
         store(time, state, machine),
@@ -53,7 +53,7 @@
                .incarnation = incarnation,
                .time_to_live = kLease,
                .safety_margin = defects.safety_margin},
-              {.to_claim = std::move(first), .to_hold = [] { return true; }}) {
+              {.to_claim = std::move(may_claim), .to_hold = [] { return true; }}) {
     lease.start();
   }
 
@@ -242,7 +242,8 @@
 }
 
 TEST_CASE(
-    "a store outage suspends the holder after its lease; it continues once the store is back") {
+    "the holder has no fence after a store outage of one lease, and regains it when the store "
+    "returns") {
   Fleet fleet(3);
   fleet.advance(5s);
   fleet.state.down = true;
@@ -304,18 +305,18 @@
   MemoryStore store(time, state, time);
   SeededRandom random(1);
   logging::NullLogger logger;
-  bool fit = true;
+  bool eligible = true;
   DutyLease lease({time, time, random, store, logger},
                   {.holder_key = "h",
                    .history_key = "i",
                    .offset_key = "o",
                    .node = NodeId("n"),
                    .incarnation = 1},
-                  {.to_claim = [&] { return fit; }, .to_hold = [&] { return fit; }});
+                  {.to_claim = [&] { return eligible; }, .to_hold = [&] { return eligible; }});
   lease.start();
   time.run_until(time.now() + 3s);
   REQUIRE(lease.fence());
-  fit = false;
+  eligible = false;
   time.run_until(time.now() + 4s);
   CHECK(lease.fence());
   time.run_until(time.now() + 4s);
--- a/src/duties/types.h
+++ b/src/duties/types.h
@@ -1,4 +1,5 @@
-// Types that describe the current holder of the fleet-wide duties.
+// Types that describe the current holder of the duties: the tasks that exactly one node performs
+// for the fleet, such as reporting usage and ordering servers.
 #pragma once
 
 #include <cstdint>
--- a/src/fleet_control/server_controller.h
+++ b/src/fleet_control/server_controller.h
@@ -33,9 +33,10 @@
   Duration shortage_grace_period{std::chrono::seconds(10)};
   /// Fraction of the needed servers that may be missing without counting as a shortage.
   double tolerated_shortage_ratio = 0.2;
-  /// How long there must be no shortage before regular servers are released. Without this delay and
-  /// the grace period, 72 servers were released at the same moment 7.5 s after their order, and a
-  /// node cut off from the fleet sent ten requests to them after the drain limit.
+  /// How long there must be no shortage before regular servers are released. Together
+  /// with the grace period, this prevents servers from being released shortly after their order.
+  /// Without both, 72 servers were released at once 7.5 s after their order, and a node cut off
+  /// from the fleet, whose view was outdated, sent ten requests to them after the drain limit.
   Duration release_delay{std::chrono::seconds(30)};
   /// How long the need of a service must not have risen before regular servers are released. When
   /// all servers start at once, they register over some seconds.
@@ -52,9 +53,9 @@
 /// service is the largest number of regular servers ever seen, which reflects the operators' own
 /// sizing. It is kept in the store for the next holder. Runs on one loop.
 ///
-/// Saves 0.09 to 0.11 of a day's credit: 140 regular servers cost 0.157 to 0.174 of it, while 210
-/// preemptible ones together with the regular ones they replace cost 0.06 to 0.07 (seven days, each
-/// run with and without).
+/// 140 regular servers cost 0.157 to 0.174 of a day's credit. 210 preemptible ones, together with
+/// the regular ones that they replace, cost 0.06 to 0.07, which saves 0.09 to 0.11 (seven days,
+/// each run with and without).
 class ServerController {
  public:
   /// The referenced objects must outlive the controller.
--- a/src/fleet_control/server_plan.cc
+++ b/src/fleet_control/server_plan.cc
@@ -52,10 +52,10 @@
   for (const auto& [zone, servers] : present) {
     ZoneServers& wanted = plan[zone];
     wanted.regular = std::min(min_regular, market.most);
-    // Released regular servers occupy capacity until they are gone.
-    const std::uint32_t taken = std::max(wanted.regular, servers.regular);
+    // Released regular servers occupy capacity until they have drained.
+    const std::uint32_t occupied = std::max(wanted.regular, servers.regular);
     wanted.preemptible = std::min(preemptible_per_zone(needed, zones, options),
-                                  market.most - std::min(market.most, taken));
+                                  market.most - std::min(market.most, occupied));
     if (wanted.regular + wanted.preemptible < market.least) {
       wanted.regular = market.least - wanted.preemptible;
     }
--- a/src/fleet_control/server_plan.h
+++ b/src/fleet_control/server_plan.h
@@ -21,8 +21,9 @@
 
 struct ServerPlanOptions {
   /// Preemptible servers per needed server that must remain after one zone loses all of its own.
-  /// With 140 servers in three zones, the credit after prices on two days was 0.676 and 0.572 with
-  /// 1, and 0.656 and 0.615 with 1.34; two runs of one day differ by as much.
+  /// With 140 servers in three zones, 1.34 gave no significant gain over 1: the credit after prices
+  /// on two days was 0.656 and 0.615 against 0.676 and 0.572, and two runs of one day differ by as
+  /// much.
   double headroom = 1.0;
   /// Fraction of the needed servers that always stays regular.
   double min_regular_ratio = 0.0;
--- a/src/fleet_control/tests/server_controller_test.cc
+++ b/src/fleet_control/tests/server_controller_test.cc
@@ -251,7 +251,7 @@
   }
 }
 
-TEST_CASE("an order without effect is repeated") {
+TEST_CASE("an order whose effect is unknown is sent again until the servers are present") {
   ControllerFixture fixture;
   fixture.put_regular(8);
   fixture.provider.loses_orders = true;
--- a/src/http/client.cc
+++ b/src/http/client.cc
@@ -180,8 +180,8 @@
 }
 
 void Client::fetch(ClientRequest request, std::function<void(Result<Response, FetchFailure>)> done,
-                   std::uint64_t largest_body_bytes) {
-  const auto fetch = std::make_shared<Fetch>(state_->fetches, std::move(done), largest_body_bytes);
+                   std::uint64_t max_body_bytes) {
+  const auto fetch = std::make_shared<Fetch>(state_->fetches, std::move(done), max_body_bytes);
   fetch->own(start(std::move(request), *fetch));
 }
 
--- a/src/http/client.h
+++ b/src/http/client.h
@@ -77,7 +77,7 @@
 
 /// Result of a probe, which only opens a connection.
 enum class ProbeResult : std::uint8_t {
-  kAccepted,  ///< Accepted and kept open for a while, as by a server that waits for a request.
+  kAccepted,  ///< Sent data or kept the connection open, as a server that waits for a request.
   kRefused,   ///< Refused, unreachable, or closed immediately, as by a proxy without a back end.
   kNoAnswer,  ///< No answer in time.
 };
@@ -92,11 +92,11 @@
 
   /// Starts an exchange; `observer` must outlive the returned object.
   std::unique_ptr<Exchange> start(ClientRequest request, ResponseObserver& observer);
-  /// Fetches a complete response with a body of at most `largest_body_bytes`.
+  /// Fetches a complete response with a body of at most `max_body_bytes`.
   void fetch(ClientRequest request, std::function<void(Result<Response, FetchFailure>)> done,
-             std::uint64_t largest_body_bytes = 8U << 20U);
-  /// Opens a connection and closes it without sending anything. The peer counts as accepting if the
-  /// connection stays open for 150 ms.
+             std::uint64_t max_body_bytes = 8U << 20U);
+  /// Opens a connection and closes it without sending anything. The peer counts as accepting if it
+  /// sends data or keeps the connection open for 150 ms.
   void probe(const Endpoint& endpoint, Duration timeout, std::function<void(ProbeResult)> done);
   /// Closes the idle connections to an endpoint.
   void close_idle_connections(const Endpoint& endpoint);
--- a/src/http/client_exchange.cc
+++ b/src/http/client_exchange.cc
@@ -41,11 +41,11 @@
   return head.append("\r\n");
 }
 
-bool contains_token(std::string_view list, std::string_view token) {
+bool contains_ignore_case(std::string_view text, std::string_view part) {
   const auto same = [](unsigned char left, unsigned char right) {
     return std::tolower(left) == std::tolower(right);
   };
-  return std::search(list.begin(), list.end(), token.begin(), token.end(), same) != list.end();
+  return std::search(text.begin(), text.end(), part.begin(), part.end(), same) != text.end();
 }
 
 /// Idle lifetime from `Keep-Alive: timeout=N`, or the default.
@@ -268,7 +268,7 @@
   const std::string_view length = find_header(headers, "content-length");
   if (has_no_body(parsed_.head.status, request_.method)) {
     body_end_ = BodyEnd::kNone;
-  } else if (contains_token(find_header(headers, "transfer-encoding"), "chunked")) {
+  } else if (contains_ignore_case(find_header(headers, "transfer-encoding"), "chunked")) {
     body_end_ = BodyEnd::kChunked;
   } else if (!length.empty()) {
     const auto [end, error] =
@@ -276,7 +276,7 @@
     const bool read = error == std::errc() && end == length.data() + length.size();
     body_end_ = read ? BodyEnd::kLength : BodyEnd::kClose;
   }
-  const bool closes = contains_token(find_header(headers, "connection"), "close") ||
+  const bool closes = contains_ignore_case(find_header(headers, "connection"), "close") ||
                       parsed_.minor_version == 0 || body_end_ == BodyEnd::kClose;
   idle_lifetime_ = closes || request_.fresh_connection
                        ? Duration::zero()
--- a/src/http/errc.h
+++ b/src/http/errc.h
@@ -10,12 +10,15 @@
 enum class HttpErrc {
   kAddressInvalid,
   kAddressInUse,
-  kTlsInvalid,       ///< The certificate, key or authority is unusable.
-  kConnect,          ///< No connection; no byte of the request was sent.
-  kReset,            ///< The connection failed after bytes of the request may have been sent.
+  kTlsInvalid,  ///< The certificate, key or authority is unusable.
+  kConnect,     ///< No connection; no byte of the request was sent.
+  kReset,       ///< The connection failed after bytes of the request may have been sent, or the
+                ///< response head is malformed or too large.
   kStaleConnection,  ///< A reused connection failed before the response; bytes may have been sent.
-  kTruncated,        ///< The connection ended before the end of the response.
-  kTimeout,          ///< Timeout after bytes of the request may have been sent.
+  kTruncated,  ///< The connection ended before the end of the response, or the chunked encoding
+               ///< of the response is malformed.
+  kTimeout,    ///< No complete response before the timeout, or the peer stopped acknowledging
+               ///< data; bytes may have been sent.
   kTooLarge,
   kExpired,    ///< The send deadline passed before any byte was sent.
   kWithdrawn,  ///< The requester withdrew the request before any byte was sent.
--- a/src/http/response_stream.cc
+++ b/src/http/response_stream.cc
@@ -158,7 +158,7 @@
     return;
   }
   if (end_ == End::kAborted && head_sent_ && !queued_.empty()) {
-    // Data accepted before the abort is still sent to the caller.
+    // Without a pending write, data accepted before the abort is still sent to the caller.
     in_flight_.swap(queued_);
     send(H2O_SEND_STATE_IN_PROGRESS);
     return;
--- a/src/http/server.cc
+++ b/src/http/server.cc
@@ -85,7 +85,7 @@
   while (h2o_linklist_is_empty(&timeout._entries) == 0) {
     h2o_linklist_t* entry = timeout._entries.next;
     if (entry->next == nullptr || entry->prev == nullptr) {
-      return;  // Unreachable in h2o; the entry is not linked.
+      return;  // Defensive check: a linked entry always has both pointers.
     }
     h2o_linklist_unlink(entry);
   }
@@ -94,7 +94,7 @@
 }  // namespace
 
 struct Server::State {
-  /// h2o's handler with the way back to this object.
+  /// h2o handler with a pointer to its server.
   struct HandlerSlot {
     h2o_handler_t super;
     State* owner;
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -20,7 +20,7 @@
 struct TlsFiles {
   std::string certificate;  ///< PEM chain.
   std::string key;          ///< PEM.
-  std::string authority;    ///< PEM; if set, peers must present a certificate signed by it.
+  std::string authority;    ///< PEM CA certificates; if set, clients need one signed by them.
 };
 
 struct ServerSettings {
@@ -77,10 +77,11 @@
   void announce_close();
   /// Sets the maximum size of a request body for later requests.
   void set_largest_body(std::uint64_t bytes);
-  /// Sets the idle timeout of connections.
+  /// Sets the idle timeout of HTTP/1.1 connections.
   void set_idle_timeout(Duration timeout);
-  /// Stops accepting. Busy connections continue. Connections that the kernel has already accepted
-  /// for this server are accepted first, because closing the listener would reset them.
+  /// Closes the listener and announces the close of all connections; requests in progress continue.
+  /// Connections that the kernel has already accepted for this server are accepted first, because
+  /// closing the listener would reset them.
   void stop_accepting();
   /// Number of requests of which a byte has been read and whose response has not been handed to the
   /// kernel completely. Iterates over all connections.
--- a/src/http/tests/server_client_test.cc
+++ b/src/http/tests/server_client_test.cc
@@ -191,7 +191,7 @@
   }
 }
 
-TEST_CASE("the server sees back pressure when the reader stops") {
+TEST_CASE("on_drained() is not called while the client does not read") {
   constexpr std::size_t kChunk = 1U << 20U;
   constexpr std::size_t kChunks = 64;
   Fixture fixture;
--- a/src/logging/glog_logger.h
+++ b/src/logging/glog_logger.h
@@ -20,9 +20,9 @@
 /// Output of log lines. Machines have no disk, so there are no log files.
 enum class LogOutput : std::uint8_t { kStandardError, kStandardOutput };
 
-/// Logger on glog, which is initialized by the only instance in the process. Records below
-/// `min_level` are dropped. A line that a pipe cannot accept immediately is dropped instead of
-/// blocking.
+/// Logger that writes through glog. The constructor initializes glog, so there must be at most one
+/// instance per process. Thread-safe. Records below `min_level` are dropped. A line that a pipe
+/// cannot accept immediately is dropped instead of blocking.
 class GlogLogger final : public Logger {
  public:
   GlogLogger(const std::string& program, Level min_level, const Clock& clock,
--- a/src/logging/logger.h
+++ b/src/logging/logger.h
@@ -27,7 +27,7 @@
   std::vector<Field> fields;
 };
 
-/// Receives log records. Implementations are thread-safe and never block for long.
+/// Receives log records. Implementations never block for long and document their thread safety.
 class Logger {
  public:
   virtual ~Logger() = default;
--- a/src/metrics/counter_table.h
+++ b/src/metrics/counter_table.h
@@ -16,6 +16,7 @@
   std::uint64_t Statistics::*member;
 };
 
+/// Adds one counter per row to the sink.
 template <class Statistics, std::size_t kRows>
 void add_counters(const CounterRow<Statistics> (&rows)[kRows], const Statistics& counts,
                   SampleSink& sink) {
--- a/src/metrics/metrics.h
+++ b/src/metrics/metrics.h
@@ -31,7 +31,7 @@
   void counter(const MetricName& metric, double value, std::vector<Label> labels = {});
   /// Adds a value that may increase and decrease.
   void gauge(const MetricName& metric, double value, std::vector<Label> labels = {});
-  /// Returns all collected families, ordered by name.
+  /// Removes and returns all collected families, ordered by name.
   std::vector<prometheus::MetricFamily> take();
 
  private:
--- a/src/process/signals.cc
+++ b/src/process/signals.cc
@@ -7,13 +7,13 @@
 
 namespace {
 
-/// Terminates the thread of the watcher.
-constexpr int kWakeSignal = SIGUSR1;
+/// Sent to the watcher's thread to make it exit.
+constexpr int kExitSignal = SIGUSR1;
 
 sigset_t watched_signals() {
   sigset_t signals;
   sigemptyset(&signals);
-  for (const int signal : {SIGTERM, SIGINT, SIGHUP, kWakeSignal}) {
+  for (const int signal : {SIGTERM, SIGINT, SIGHUP, kExitSignal}) {
     sigaddset(&signals, signal);
   }
   return signals;
@@ -31,13 +31,13 @@
     : handler_(std::move(handler)), thread_([this] {
         const sigset_t signals = watched_signals();
         int signal = 0;
-        while (sigwait(&signals, &signal) == 0 && signal != kWakeSignal) {
+        while (sigwait(&signals, &signal) == 0 && signal != kExitSignal) {
           handler_(signal == SIGHUP ? ProcessSignal::kReload : ProcessSignal::kStop);
         }
       }) {}
 
 SignalWatcher::~SignalWatcher() {
-  pthread_kill(thread_.native_handle(), kWakeSignal);
+  pthread_kill(thread_.native_handle(), kExitSignal);
   thread_.join();
 }
 
--- a/src/settings/node_settings.cc
+++ b/src/settings/node_settings.cc
@@ -53,9 +53,9 @@
   }
   const auto need = [&](const std::string& key, const std::string& value) {
     if (value.empty()) {
-      errors.push_back({SettingsErrc::kMissing, prefix + "-tls-" + key +
-                                                    ": missing or unusable; the other " + prefix +
-                                                    "-tls settings require it"});
+      errors.push_back({SettingsErrc::kMissing,
+                        prefix + "-tls-" + key + ": not given or invalid, but required when any " +
+                            prefix + "-tls setting is given"});
     }
   };
   need("certificate", tls->certificate);
--- a/src/settings/node_settings.h
+++ b/src/settings/node_settings.h
@@ -20,7 +20,8 @@
   std::string authority;
 };
 
-/// All start-up settings of a node; they do not change while it runs.
+/// All start-up settings of a node; they do not change while it runs. The default values of
+/// settings are those of make_setting_table().
 struct NodeSettings {
   NodeId node;
   std::string cluster = "ochrespring";
--- a/src/settings/setting_table.cc
+++ b/src/settings/setting_table.cc
@@ -19,7 +19,7 @@
 Store store_name(Name NodeSettings::*member) {
   return [member](const std::string& text, NodeSettings& settings) {
     std::string value;
-    if (!read_name(text, value)) {
+    if (!parse_name(text, value)) {
       return false;
     }
     settings.*member = Name(value);
@@ -29,13 +29,13 @@
 
 Store store_listen(Endpoint NodeSettings::*member) {
   return [member](const std::string& text, NodeSettings& settings) {
-    return read_listen_endpoint(text, settings.*member);
+    return parse_listen_endpoint(text, settings.*member);
   };
 }
 
 Store store_remote(Endpoint NodeSettings::*member) {
   return [member](const std::string& text, NodeSettings& settings) {
-    return read_remote_endpoint(text, settings.*member);
+    return parse_remote_endpoint(text, settings.*member);
   };
 }
 
@@ -43,7 +43,7 @@
 Store store_number(Number NodeSettings::*member, NumberRange range) {
   return [member, range](const std::string& text, NodeSettings& settings) {
     std::uint64_t value = 0;
-    if (!read_number(text, range, value)) {
+    if (!parse_number(text, range, value)) {
       return false;
     }
     settings.*member = static_cast<Number>(value);
@@ -56,13 +56,13 @@
     if (!(settings.*tls)) {
       (settings.*tls).emplace();
     }
-    return read_file_name(text, *(settings.*tls).*member);
+    return parse_file_name(text, *(settings.*tls).*member);
   };
 }
 
 bool store_seed(const std::string& text, NodeSettings& settings) {
   Endpoint seed;
-  if (!read_remote_endpoint(text, seed)) {
+  if (!parse_remote_endpoint(text, seed)) {
     return false;
   }
   settings.seeds.push_back(seed);
@@ -70,7 +70,7 @@
 }
 
 bool store_level(const std::string& text, NodeSettings& settings) {
-  return read_level(text, settings.log_level);
+  return parse_log_level(text, settings.log_level);
 }
 
 SettingSpecification required(std::string key, std::string help, std::string allowed, Store store) {
@@ -124,7 +124,8 @@
   table.push_back(optional("largest-body-bytes", "Largest request body accepted from callers",
                            kBodyBytesRange.describe(), "8388608",
                            store_number(&NodeSettings::largest_body_bytes, kBodyBytesRange)));
-  table.push_back(optional("peer-queue-bytes", "Messages queued for one peer, in bytes",
+  table.push_back(optional("peer-queue-bytes",
+                           "Maximum size of the messages queued for one peer, in bytes",
                            kPeerQueueBytesRange.describe(), "4194304",
                            store_number(&NodeSettings::peer_queue_bytes, kPeerQueueBytesRange)));
   table.push_back(
@@ -137,9 +138,10 @@
                            kFileRule, "", store_file(tls, &TlsSettings::certificate)));
   table.push_back(optional(prefix + "-tls-key", "PEM key for " + traffic, kFileRule, "",
                            store_file(tls, &TlsSettings::key)));
-  table.push_back(optional(prefix + "-tls-authority",
-                           "PEM authority that must have signed the other side, for " + traffic,
-                           kFileRule, "", store_file(tls, &TlsSettings::authority)));
+  table.push_back(optional(
+      prefix + "-tls-authority",
+      "PEM file of the CA that must have signed the other side's certificate, for " + traffic,
+      kFileRule, "", store_file(tls, &TlsSettings::authority)));
 }
 
 }  // namespace
--- a/src/usage/usage_meter.cc
+++ b/src/usage/usage_meter.cc
@@ -15,8 +15,8 @@
                        UsageMeterOptions options, Send send)
     : wall_(wall), options_(std::move(options)), send_(std::move(send)), timer_(timers) {}
 
-void UsageMeter::note_run(const TenantName& tenant, Duration ago) {
-  ++windows_[options_.windows.at(wall_.now() - ago)][tenant];
+void UsageMeter::note_run(const TenantName& tenant, Duration age) {
+  ++windows_[options_.windows.at(wall_.now() - age)][tenant];
 }
 
 void UsageMeter::arm() {
--- a/src/usage/usage_meter.h
+++ b/src/usage/usage_meter.h
@@ -27,7 +27,8 @@
   std::uint32_t full_report_interval = 8;
 };
 
-/// Sends no report while there are no counts. Runs on one loop.
+/// Counts the requests of this node per tenant and window, and sends the counts periodically. Sends
+/// no report while there are no counts. Runs on one loop.
 class UsageMeter {
  public:
   using Send = std::function<void(const UsageReport&)>;
@@ -36,8 +37,8 @@
              Send send);
 
   void start() { arm(); }
-  /// Counts a request of `tenant` that began to run `ago` before now.
-  void note_run(const TenantName& tenant, Duration ago);
+  /// Counts a request of `tenant` that began to run `age` before now.
+  void note_run(const TenantName& tenant, Duration age);
   /// Sends a full report immediately, because the node is about to stop.
   void flush();
 
--- a/src/usage/usage_reporter.cc
+++ b/src/usage/usage_reporter.cc
@@ -74,7 +74,7 @@
   const auto fence = world_.lease.fence();
   include_earlier_windows();
   drop_expired(fence.has_value());
-  const bool learned = world_.wall.now() - started_ >= options_.learning_time;
+  const bool learned = world_.wall.now() - started_ >= options_.startup_delay;
   if (!fence || call_pending_ || !learned) {
     return;
   }
--- a/src/usage/usage_reporter.h
+++ b/src/usage/usage_reporter.h
@@ -30,7 +30,7 @@
   Duration period{std::chrono::milliseconds(250)};  ///< Interval between checks for due windows.
   /// Delay after the start before this node reports. By then it has received all retained windows
   /// of the other nodes (see UsageMeterOptions::full_report_interval).
-  Duration learning_time{std::chrono::milliseconds(2500)};
+  Duration startup_delay{std::chrono::milliseconds(2500)};
 };
 
 struct UsageReporterStatistics {
@@ -39,8 +39,9 @@
   std::uint64_t refused = 0;  ///< Reports refused because a higher fence was seen.
 };
 
-/// Missing reports cost 0.27 of a day's credit on each of seven days; with this reporter 0 or 1 of
-/// 8 to 12 windows was missed.
+/// Stores the sum of each usage window and reports it to the UsageSink while this node holds the
+/// duties. Missing reports cost 0.27 of a day's credit on each of seven days; with this reporter
+/// 0 or 1 of 8 to 12 windows was missed.
 ///
 /// Two conflicting reports of one window are worse than a missing one. The sum of a window is
 /// therefore written to the store before it is reported, on condition that this node still holds
--- a/src/usage/usage_tally.h
+++ b/src/usage/usage_tally.h
@@ -10,8 +10,8 @@
 
 namespace ochrespring::usage {
 
-/// Kept by every node that may hold the duties, so that a successor has the same counts as the
-/// holder.
+/// Accumulates the usage reports of all nodes per window. Every node that may hold the duties keeps
+/// one, so that a new holder has the same counts.
 class UsageTally {
  public:
   void add(const UsageReport& report);
--- a/src/wire/archive.cc
+++ b/src/wire/archive.cc
@@ -3,15 +3,15 @@
 namespace ochrespring::wire {
 
 namespace {
-constexpr unsigned kBitsPerByte = 7;
-constexpr unsigned kLargestShift = 63;
+constexpr unsigned kPayloadBitsPerByte = 7;
+constexpr unsigned kMaxShift = 63;
 constexpr std::uint64_t kContinuation = 0x80;
 }  // namespace
 
 void OutputArchive::save_varint(std::uint64_t value) {
   while (value >= kContinuation) {
     output_.push_back(static_cast<char>((value & (kContinuation - 1)) | kContinuation));
-    value >>= kBitsPerByte;
+    value >>= kPayloadBitsPerByte;
   }
   output_.push_back(static_cast<char>(value));
 }
@@ -22,7 +22,7 @@
 
 std::uint64_t InputArchive::load_varint() {
   std::uint64_t value = 0;
-  for (unsigned shift = 0; shift <= kLargestShift; shift += kBitsPerByte) {
+  for (unsigned shift = 0; shift <= kMaxShift; shift += kPayloadBitsPerByte) {
     const auto byte = static_cast<unsigned char>(load_bytes(1).front());
     value |= (byte & (kContinuation - 1)) << shift;
     if ((byte & kContinuation) == 0) {
--- a/src/wire/archive.h
+++ b/src/wire/archive.h
@@ -218,7 +218,7 @@
       value = raw == 1;
     } else if constexpr (std::is_enum_v<T>) {
       const std::uint64_t raw = load_varint();
-      if (raw > kLargestEnumerator) {
+      if (raw > kMaxEnumerator) {
         throw DecodeFailure{};
       }
       value = static_cast<T>(raw);
@@ -246,7 +246,7 @@
   }
 
   /// Enumerators on the wire are at most this; consumers must still handle unknown ones.
-  static constexpr std::uint64_t kLargestEnumerator = 255;
+  static constexpr std::uint64_t kMaxEnumerator = 255;
 
   std::string_view input_;
 };
--- a/src/wire/compression.cc
+++ b/src/wire/compression.cc
@@ -34,14 +34,14 @@
   std::string output;
   std::array<char, kChunkBytes> chunk{};
   int status = Z_OK;
-  while (status == Z_OK && output.size() <= kLargestInflatedBytes) {
+  while (status == Z_OK && output.size() <= kMaxDecompressedBytes) {
     stream.next_out = reinterpret_cast<Bytef*>(chunk.data());
     stream.avail_out = static_cast<uInt>(chunk.size());
     status = inflate(&stream, Z_NO_FLUSH);
     output.append(chunk.data(), chunk.size() - stream.avail_out);
   }
   inflateEnd(&stream);
-  if (status != Z_STREAM_END || output.size() > kLargestInflatedBytes) {
+  if (status != Z_STREAM_END || output.size() > kMaxDecompressedBytes) {
     return fail(WireErrc::kMalformed, "corrupt data, or too large after decompression");
   }
   return output;
--- a/src/wire/tests/compression_test.cc
+++ b/src/wire/tests/compression_test.cc
@@ -18,7 +18,7 @@
 }
 
 TEST_CASE("data that exceeds the limit after decompression is rejected") {
-  const std::string packed = wire::compress(std::string(wire::kLargestInflatedBytes + 1, 'x'));
-  CHECK(packed.size() < wire::kLargestInflatedBytes / 100);
+  const std::string packed = wire::compress(std::string(wire::kMaxDecompressedBytes + 1, 'x'));
+  CHECK(packed.size() < wire::kMaxDecompressedBytes / 100);
   CHECK(wire::decompress(packed).has_error());
 }
