--- a/src/settings/setting_checks.cc
+++ b/src/settings/setting_checks.cc
@@ -31,7 +31,7 @@
   return "a whole number from " + std::to_string(min) + " to " + std::to_string(max);
 }
 
-bool parse_name(const std::string& text, std::string& value) {
+bool read_name(const std::string& text, std::string& value) {
   if (text.empty() || text.size() > kMaxNameLength || !is_letter_or_digit(text.front()) ||
       !std::all_of(text.begin(), text.end(), is_name_character)) {
     return false;
@@ -40,7 +40,7 @@
   return true;
 }
 
-bool parse_number(const std::string& text, const NumberRange& range, std::uint64_t& value) {
+bool read_number(const std::string& text, const NumberRange& range, std::uint64_t& value) {
   std::uint64_t number = 0;
   const char* end = text.data() + text.size();
   const auto [stopped, error] = std::from_chars(text.data(), end, number);
@@ -51,7 +51,7 @@
   return true;
 }
 
-bool parse_listen_endpoint(const std::string& text, Endpoint& value) {
+bool read_listen_endpoint(const std::string& text, Endpoint& value) {
   if (!parse_endpoint(Endpoint(text))) {
     return false;
   }
@@ -59,16 +59,16 @@
   return true;
 }
 
-bool parse_remote_endpoint(const std::string& text, Endpoint& value) {
+bool read_remote_endpoint(const std::string& text, Endpoint& value) {
   return parse_endpoint(Endpoint(text)) && !ends_with_port_zero(text) &&
-         parse_listen_endpoint(text, value);
+         read_listen_endpoint(text, value);
 }
 
-bool parse_log_level(const std::string& text, logging::Level& value) {
+bool read_level(const std::string& text, logging::Level& value) {
   return logging::parse_level(text, value);
 }
 
-bool parse_file_name(const std::string& text, std::string& value) {
+bool read_file_name(const std::string& text, std::string& value) {
   if (!std::ifstream(text).good()) {
     return false;
   }
--- a/src/settings/setting_checks.h
+++ b/src/settings/setting_checks.h
@@ -28,13 +28,13 @@
 inline constexpr const char* kLevelRule = "debug, info, warning or error";
 inline constexpr const char* kFileRule = "the path of a readable file";
 
-bool parse_name(const std::string& text, std::string& value);
-bool parse_number(const std::string& text, const NumberRange& range, std::uint64_t& value);
+bool read_name(const std::string& text, std::string& value);
+bool read_number(const std::string& text, const NumberRange& range, std::uint64_t& value);
 /// Accepts port 0.
-bool parse_listen_endpoint(const std::string& text, Endpoint& value);
+bool read_listen_endpoint(const std::string& text, Endpoint& value);
 /// Rejects port 0.
-bool parse_remote_endpoint(const std::string& text, Endpoint& value);
-bool parse_log_level(const std::string& text, logging::Level& value);
-bool parse_file_name(const std::string& text, std::string& value);
+bool read_remote_endpoint(const std::string& text, Endpoint& value);
+bool read_level(const std::string& text, logging::Level& value);
+bool read_file_name(const std::string& text, std::string& value);
 
 }  // namespace ochrespring::settings
--- a/src/settings/setting_table.cc
+++ b/src/settings/setting_table.cc
@@ -19,7 +19,7 @@
 Store store_name(Name NodeSettings::*member) {
   return [member](const std::string& text, NodeSettings& settings) {
     std::string value;
-    if (!parse_name(text, value)) {
+    if (!read_name(text, value)) {
       return false;
     }
     settings.*member = Name(value);
@@ -29,13 +29,13 @@
 
 Store store_listen(Endpoint NodeSettings::*member) {
   return [member](const std::string& text, NodeSettings& settings) {
-    return parse_listen_endpoint(text, settings.*member);
+    return read_listen_endpoint(text, settings.*member);
   };
 }
 
 Store store_remote(Endpoint NodeSettings::*member) {
   return [member](const std::string& text, NodeSettings& settings) {
-    return parse_remote_endpoint(text, settings.*member);
+    return read_remote_endpoint(text, settings.*member);
   };
 }
 
@@ -43,7 +43,7 @@
 Store store_number(Number NodeSettings::*member, NumberRange range) {
   return [member, range](const std::string& text, NodeSettings& settings) {
     std::uint64_t value = 0;
-    if (!parse_number(text, range, value)) {
+    if (!read_number(text, range, value)) {
       return false;
     }
     settings.*member = static_cast<Number>(value);
@@ -56,13 +56,13 @@
     if (!(settings.*tls)) {
       (settings.*tls).emplace();
     }
-    return parse_file_name(text, *(settings.*tls).*member);
+    return read_file_name(text, *(settings.*tls).*member);
   };
 }
 
 bool store_seed(const std::string& text, NodeSettings& settings) {
   Endpoint seed;
-  if (!parse_remote_endpoint(text, seed)) {
+  if (!read_remote_endpoint(text, seed)) {
     return false;
   }
   settings.seeds.push_back(seed);
@@ -70,7 +70,7 @@
 }
 
 bool store_level(const std::string& text, NodeSettings& settings) {
-  return parse_log_level(text, settings.log_level);
+  return read_level(text, settings.log_level);
 }
 
 SettingSpecification required(std::string key, std::string help, std::string allowed, Store store) {
