--- a/src/fleet_control/server_plan.cc
+++ b/src/fleet_control/server_plan.cc
@@ -52,10 +52,10 @@
   for (const auto& [zone, servers] : present) {
     ZoneServers& wanted = plan[zone];
     wanted.regular = std::min(min_regular, market.max_servers);
-    // Released regular servers occupy capacity until they are gone.
-    const std::uint32_t taken = std::max(wanted.regular, servers.regular);
+    // Released regular servers occupy capacity until they have drained.
+    const std::uint32_t occupied = std::max(wanted.regular, servers.regular);
     wanted.preemptible = std::min(preemptible_per_zone(needed, zones, options),
-                                  market.max_servers - std::min(market.max_servers, taken));
+                                  market.max_servers - std::min(market.max_servers, occupied));
     if (wanted.regular + wanted.preemptible < market.min_servers) {
       wanted.regular = market.min_servers - wanted.preemptible;
     }
--- a/src/settings/setting_table.cc
+++ b/src/settings/setting_table.cc
@@ -124,7 +124,8 @@
   table.push_back(optional("largest-body-bytes", "Largest request body accepted from callers",
                            kBodyBytesRange.describe(), "8388608",
                            store_number(&NodeSettings::largest_body_bytes, kBodyBytesRange)));
-  table.push_back(optional("peer-queue-bytes", "Messages queued for one peer, in bytes",
+  table.push_back(optional("peer-queue-bytes",
+                           "Maximum size of the messages queued for one peer, in bytes",
                            kPeerQueueBytesRange.describe(), "4194304",
                            store_number(&NodeSettings::peer_queue_bytes, kPeerQueueBytesRange)));
   table.push_back(
@@ -137,9 +138,10 @@
                            kFileRule, "", store_file(tls, &TlsSettings::certificate)));
   table.push_back(optional(prefix + "-tls-key", "PEM key for " + traffic, kFileRule, "",
                            store_file(tls, &TlsSettings::key)));
-  table.push_back(optional(prefix + "-tls-authority",
-                           "PEM authority that must have signed the other side, for " + traffic,
-                           kFileRule, "", store_file(tls, &TlsSettings::authority)));
+  table.push_back(optional(
+      prefix + "-tls-authority",
+      "PEM file of the CA that must have signed the other side's certificate, for " + traffic,
+      kFileRule, "", store_file(tls, &TlsSettings::authority)));
 }
 
 }  // namespace
