--- a/src/gateway_node/gateway_node.cc
+++ b/src/gateway_node/gateway_node.cc
@@ -12,12 +12,14 @@
 using std::chrono::milliseconds;
 
 constexpr std::string_view kComponent = "node";
-/// Subtracted from the grace period, so that the process ends before it is killed.
+/// Subtracted from the grace period of the settings, so that the process ends before the platform
+/// kills it. Also the shortest grace period that is used.
 constexpr Duration kGraceMargin = milliseconds(500);
-/// A back end in the same network that accepts no connection for this long counts as not answering.
+/// Connect timeout of probes. Back ends are in the same network, so one that takes longer to accept
+/// a connection counts as not answering.
 constexpr Duration kProbeTimeout = milliseconds(400);
 /// Fraction of its lease after which a node's registration is renewed, so that two retries fit into
-/// the rest.
+/// the rest of the default lease.
 constexpr double kRenewalFraction = 0.4;
 /// Added to callers' idle timeout, so that the server closes connections later than callers do and
 /// rarely while a request is in transit.
@@ -29,7 +31,8 @@
   return settings;
 }
 
-/// The seeds, which all nodes ask first, list the store when they start. The other nodes ask them.
+/// A seed performs a full listing of the store immediately when it starts, because nodes without a
+/// view fetch it from the seeds and from other nodes that have one.
 discovery::FleetWatcherSettings watcher_settings(const Settings& settings) {
   auto watcher = discovery::settings_for_staleness_bound(
       std::min(settings.drain_bound, settings.configuration_bound));
@@ -42,33 +45,33 @@
 
 GatewayNode::GatewayNode(http::EventLoop& loop, http::Client& client, const Clock& clock,
                          RandomSource& random, logging::Logger& logger, Settings settings,
-                         Adapter adapter)
+                         PlatformInterfaces platform)
     : loop_(loop),
       clock_(clock),
       logger_(logger),
       settings_(std::move(settings)),
-      adapter_(std::move(adapter)),
+      platform_(std::move(platform)),
       client_(client),
       profiles_(fleet_, logger),
       placement_(fleet_, loads_, random, settings_.zone, &profiles_),
-      budget_(settings_.retry_budget, clock.now()),
-      shares_(random),
+      retry_budget_(settings_.retry_budget, clock.now()),
+      share_picker_(random),
       transport_(client),
       self_{settings_.node,        settings_.listen,    settings_.zone,
             settings_.peer_listen, settings_.link_mbps, settings_.view_listen},
       nodes_(clock, self_),
-      watcher_({clock, loop, random, adapter_.store, adapter_.codec, logger},
+      watcher_({clock, loop, random, platform_.store, platform_.codec, logger},
                watcher_settings(settings_), fleet_, nodes_),
-      registration_(loop, adapter_.store, logger, random,
-                    {.key = adapter_.codec.layout().node_prefix + settings_.node.value(),
+      registration_(loop, platform_.store, logger, random,
+                    {.key = platform_.codec.layout().node_prefix + settings_.node.value(),
                      .time_to_live = settings_.node_lease,
                      .period = from_seconds(kRenewalFraction * to_seconds(settings_.node_lease))},
                     self_),
-      views_({loop, client, clock, random},
-             {.listen = settings_.view_listen,
-              .seeds = settings_.seeds,
-              .link_mbps = settings_.link_mbps},
-             [this](auto after) { return watcher_.make_transfer(after); }),
+      view_exchange_({loop, client, clock, random},
+                     {.listen = settings_.view_listen,
+                      .seeds = settings_.seeds,
+                      .link_mbps = settings_.link_mbps},
+                     [this](auto after) { return watcher_.make_transfer(after); }),
       peer_exchange_(
           {clock, loop, random, fleet_, loads_, nodes_, watcher_},
           {.peer_address = settings_.peer_listen,
@@ -76,10 +79,10 @@
            .relays = {.min_nodes = settings_.relay_from_nodes},
            .relay_batch_window = settings_.relay_batch_window},
           [this](const Endpoint& to, std::string_view bytes) { peer_socket_->send(to, bytes); },
-          [this](const Endpoint& view_address) { views_.note_source(view_address); }),
-      duties_({clock, loop, random, adapter_.store, logger, fleet_, adapter_.usage_sink,
-               adapter_.server_provider},
-              {.key_prefix = adapter_.codec.layout().duty_prefix,
+          [this](const Endpoint& view_address) { view_exchange_.note_source(view_address); }),
+      duties_({clock, loop, random, platform_.store, logger, fleet_, platform_.usage_sink,
+               platform_.server_provider},
+              {.key_prefix = platform_.codec.layout().duty_prefix,
                .node = settings_.node,
                .lease = settings_.node_lease,
                .usage_windows = {settings_.usage_window},
@@ -93,8 +96,8 @@
                      peer_exchange_.broadcast_usage(report);
                    }}),
       quarantine_(
-          {clock, loop, random, adapter_.store, logger, fleet_},
-          {.key_prefix = adapter_.codec.layout().quarantine_prefix, .node = settings_.node},
+          {clock, loop, random, platform_.store, logger, fleet_},
+          {.key_prefix = platform_.codec.layout().quarantine_prefix, .node = settings_.node},
           {.probe =
                [this](const Endpoint& address, std::function<void(http::ProbeResult)> done) {
                  client_.probe(address, kProbeTimeout, std::move(done));
@@ -124,21 +127,21 @@
                [this](const auto& relayed) {
                  peer_exchange_.broadcast_profiles_to_zone(relayed);
                }}),
-      survey_(clock, adapter_.engines, fleet_, loads_,
-              [this](const gateway::BackendId& engine, http::ClientRequest request,
-                     std::function<void(std::string)> done) {
-                fetch_from_engine(engine, std::move(request), std::move(done));
-              }),
+      cache_survey_(clock, platform_.engines, fleet_, loads_,
+                    [this](const gateway::BackendId& engine, http::ClientRequest request,
+                           std::function<void(std::string)> done) {
+                      fetch_from_engine(engine, std::move(request), std::move(done));
+                    }),
       gateway_({clock,
                 loop,
                 transport_,
                 fleet_,
                 loads_,
                 placement_,
-                budget_,
-                shares_,
-                adapter_.names,
-                adapter_.engines,
+                retry_budget_,
+                share_picker_,
+                platform_.names,
+                platform_.engines,
                 statistics_,
                 logger,
                 [this] { return nodes_.conservative_count(); },
@@ -150,24 +153,25 @@
                 &profiles_,
                 settings_.replicate_resumable_streams != 0},
                [this](auto done) { watcher_.refresh(std::move(done)); }),
-      callers_(loop, server_at(settings_.listen)),
-      ready_(loop, server_at(settings_.ready_listen)),
-      directory_(loop, server_at(settings_.directory_listen)),
-      stop_(loop,
-            {[this] { leave(); }, [this] { callers_.stop_accepting(); }, [this] { finish(); },
-             [this] { return callers_.held(); },
-             [this] { gateway_.set_shutdown_time(shutdown_time_); }, [this] { end_requests(); }}) {}
+      caller_server_(loop, server_at(settings_.listen)),
+      ready_server_(loop, server_at(settings_.ready_listen)),
+      directory_server_(loop, server_at(settings_.directory_listen)),
+      stop_sequence_(loop, {[this] { leave(); }, [this] { caller_server_.stop_accepting(); },
+                            [this] { finish(); }, [this] { return caller_server_.held(); },
+                            [this] { gateway_.set_shutdown_time(shutdown_time_); },
+                            [this] { end_requests(); }}) {}
 
 Result<void, http::HttpError> GatewayNode::start() {
-  callers_.route("/",
-                 [this](http::Request request, std::shared_ptr<http::ResponseWriter> response) {
-                   gateway_.handle(std::move(request), std::move(response));
-                 });
-  adapter_.add_ready_page(ready_, [this] { return !stop_.begun() && fleet_.routes() != nullptr; });
-  adapter_.add_directory_page(directory_, nodes_);
-  BOOST_OUTCOME_TRY(callers_.listen());
-  BOOST_OUTCOME_TRY(ready_.listen());
-  BOOST_OUTCOME_TRY(directory_.listen());
+  caller_server_.route(
+      "/", [this](http::Request request, std::shared_ptr<http::ResponseWriter> response) {
+        gateway_.handle(std::move(request), std::move(response));
+      });
+  platform_.add_ready_page(
+      ready_server_, [this] { return !stop_sequence_.begun() && fleet_.routes() != nullptr; });
+  platform_.add_directory_page(directory_server_, nodes_);
+  BOOST_OUTCOME_TRY(caller_server_.listen());
+  BOOST_OUTCOME_TRY(ready_server_.listen());
+  BOOST_OUTCOME_TRY(directory_server_.listen());
   if (!settings_.metrics_listen.empty()) {
     metrics_.add([this](metrics::SampleSink& sink) { add_metrics(sink); });
     metrics_server_ = std::make_unique<http::Server>(loop_, server_at(settings_.metrics_listen));
@@ -178,12 +182,13 @@
     BOOST_OUTCOME_TRY(metrics_server_->listen());
   }
   BOOST_OUTCOME_TRY(listen_to_peers());
-  BOOST_OUTCOME_TRY(views_.listen());
+  BOOST_OUTCOME_TRY(view_exchange_.listen());
   watcher_.on_store_state([this](bool reachable) { peer_exchange_.on_store_state(reachable); });
   watcher_.on_view_needed(
-      [this](auto done) { views_.fetch(known_view_addresses(), std::move(done)); });
-  watcher_.on_fetch_needed(
-      [this](const auto& request, auto done) { views_.fetch_from(request, std::move(done)); });
+      [this](auto done) { view_exchange_.fetch(known_view_addresses(), std::move(done)); });
+  watcher_.on_fetch_needed([this](const auto& request, auto done) {
+    view_exchange_.fetch_from(request, std::move(done));
+  });
   watcher_.on_reading_assignment([this] { return peer_exchange_.channel().reading_assignment(); });
   fleet_.on_added(
       [this](const gateway::Backend& backend) { admission_.note_backend_added(backend.id); });
@@ -199,11 +204,11 @@
   watcher_.on_current([this] {
     apply_limits();
     quarantine_.on_store_available();
-    learn_cached_parts();
+    request_initial_state();
     nodes_.readmit_deferred();
   });
   watcher_.on_new_era([this] { rewrite_store_entries(); });
-  gateway_.on_idle([this] { stop_.on_idle(); });
+  gateway_.on_idle([this] { stop_sequence_.on_idle(); });
   peer_exchange_.on_usage(
       [this](const usage::UsageReport& report) { duties_.receive_usage(report); });
   connect_quarantine();
@@ -281,16 +286,16 @@
   return outcome::success();
 }
 
-void GatewayNode::learn_cached_parts() {
-  if (requested_cached_parts_ && survey_.begun()) {
+void GatewayNode::request_initial_state() {
+  if (requested_initial_state_ && cache_survey_.begun()) {
     return;
   }
   std::vector<NodeId> nodes{settings_.node};
   for (const auto& [node, record] : nodes_.others()) {
     nodes.push_back(node);
   }
-  survey_.begin(settings_.node, nodes);
-  if (!std::exchange(requested_cached_parts_, true)) {
+  cache_survey_.begin(settings_.node, nodes);
+  if (!std::exchange(requested_initial_state_, true)) {
     peer_exchange_.request_cached_parts();
   }
 }
@@ -298,17 +303,17 @@
 void GatewayNode::stop() {
   const StopTimes times =
       StopTimes::within(std::max<Duration>(settings_.stop_grace - kGraceMargin, kGraceMargin));
-  if (!stop_.begun()) {
+  if (!stop_sequence_.begun()) {
     shutdown_time_ = clock_.now() + times.grace;
   }
-  stop_.begin(times);
+  stop_sequence_.begin(times);
 }
 
 /// Returns log fields with the numbers of requests by what they wait for. `held` also counts
 /// requests that are partly received and those whose answer is partly sent.
 std::vector<logging::Field> GatewayNode::request_count_fields() const {
   const gateway::HeldRequests requests = gateway_.held();
-  return {{"held", static_cast<std::uint64_t>(callers_.held())},
+  return {{"held", static_cast<std::uint64_t>(caller_server_.held())},
           {"at_configuration", static_cast<std::uint64_t>(requests.at_configuration)},
           {"at_back_ends", static_cast<std::uint64_t>(requests.at_back_ends)},
           {"queued", static_cast<std::uint64_t>(requests.queued)}};
@@ -323,7 +328,7 @@
   peer_exchange_.announce_leaving(
       [this] { return std::max(registration_.registered(), nodes_.own_registration_revision()); });
   registration_.leave();
-  callers_.announce_close();
+  caller_server_.announce_close();
   queue_.stop();
 }
 
@@ -344,13 +349,14 @@
   settings_.retry_budget = settings.retry_budget;
   settings_.stop_grace = settings.stop_grace;
   settings_.queue = settings.queue;
-  budget_.set(settings.retry_budget);
+  retry_budget_.set(settings.retry_budget);
   queue_.set_limits(settings.queue);
   logger_.write({logging::Level::kInfo, kComponent, "settings reloaded", {}});
 }
 
 /// Calls `done` with the body of a successful answer, and not at all after any other result. The
-/// engine's statement in the answer's headers is applied as for any other answer.
+/// rate limit, back-off and leaving announcement in the answer's headers are applied as for any
+/// other answer, unless another back end answers at the address.
 void GatewayNode::fetch_from_engine(const gateway::BackendId& engine, http::ClientRequest request,
                                     std::function<void(std::string body)> done) {
   const MonotonicTime now = clock_.now();
@@ -362,7 +368,7 @@
       return;
     }
     http::Response& response = result.value();
-    const auto statement = gateway::read_statement(response.head, adapter_.names);
+    const auto statement = gateway::read_statement(response.head, platform_.names);
     if (!statement.misdirected) {
       admission_.note_answer({.backend = engine, .sent = now, .statement = statement});
     }
@@ -375,8 +381,8 @@
 void GatewayNode::apply_limits() {
   const auto& limits =
       fleet_.routes() ? fleet_.routes()->configuration().limits : gateway::CallerLimits();
-  callers_.set_largest_body(limits.max_body_bytes);
-  callers_.set_idle_timeout(limits.idle_timeout + kIdleMargin);
+  caller_server_.set_largest_body(limits.max_body_bytes);
+  caller_server_.set_idle_timeout(limits.idle_timeout + kIdleMargin);
 }
 
 void GatewayNode::add_metrics(metrics::SampleSink& sink) const {
--- a/src/gateway_node/gateway_node.h
+++ b/src/gateway_node/gateway_node.h
@@ -15,9 +15,9 @@
 #include "engine_profiles/profile_exchange.h"
 #include "gateway/cache_survey.h"
 #include "gateway/gateway.h"
-#include "gateway_node/adapter.h"
 #include "gateway_node/node_duties.h"
 #include "gateway_node/peer_exchange.h"
+#include "gateway_node/platform_interfaces.h"
 #include "gateway_node/settings.h"
 #include "gateway_node/stop_sequence.h"
 #include "gateway_node/view_exchange.h"
@@ -37,7 +37,7 @@
 class GatewayNode {
  public:
   GatewayNode(http::EventLoop& loop, http::Client& client, const Clock& clock, RandomSource& random,
-              logging::Logger& logger, Settings settings, Adapter adapter);
+              logging::Logger& logger, Settings settings, PlatformInterfaces platform);
 
   /// Binds all addresses and starts watching the store. Returns an error if an address cannot be
   /// bound.
@@ -46,10 +46,11 @@
   /// the event loop once callers have had time to notice and the last request has ended, or when
   /// the grace period is over.
   void stop();
-  /// Applies changed settings, after a reload signal or a change of the settings file.
+  /// Applies the retry budget, the stop grace period and the queue limits of `settings`, after a
+  /// reload signal or a change of the settings file. Other changes require a restart.
   void reload(const Settings& settings);
   /// Returns the bound address for callers' requests. Call only after start().
-  Endpoint caller_address() const { return callers_.bound(); }
+  Endpoint caller_address() const { return caller_server_.bound(); }
 
  private:
   Result<void, http::HttpError> listen_to_peers();
@@ -59,8 +60,9 @@
   void connect_profiles();
   /// Returns the view addresses of the nodes known so far.
   std::vector<Endpoint> known_view_addresses() const;
-  /// Learns which prompt parts engines have cached, when this node first knows the fleet.
-  void learn_cached_parts();
+  /// Starts the survey of cached prompt parts and requests the state of other nodes, once this node
+  /// knows the fleet. Called again until the survey has begun.
+  void request_initial_state();
   void add_metrics(metrics::SampleSink& sink) const;
   void fetch_from_engine(const gateway::BackendId& engine, http::ClientRequest request,
                          std::function<void(std::string body)> done);
@@ -74,21 +76,21 @@
   const Clock& clock_;
   logging::Logger& logger_;
   Settings settings_;
-  Adapter adapter_;
+  PlatformInterfaces platform_;
   http::Client& client_;
   gateway::FleetState fleet_;
   gateway::LoadTable loads_;
   engine_profiles::EngineProfileTable profiles_;
   gateway::Placement placement_;
-  gateway::RetryBudget budget_;
-  gateway::SharePicker shares_;
+  gateway::RetryBudget retry_budget_;
+  gateway::SharePicker share_picker_;
   gateway::GatewayStatistics statistics_;
   gateway::HttpBackendTransport transport_;
   discovery::NodeRecord self_;
   discovery::NodeDirectory nodes_;
   discovery::FleetWatcher watcher_;
   discovery::NodeRegistration registration_;
-  ViewExchange views_;
+  ViewExchange view_exchange_;
   PeerExchange peer_exchange_;
   std::unique_ptr<peer_load::DatagramSocket> peer_socket_;
   NodeDuties duties_;
@@ -97,16 +99,16 @@
   admission::AdmissionControl admission_;
   admission_queue::AdmissionQueue queue_;
   engine_profiles::ProfileExchange profile_exchange_;
-  gateway::CacheSurvey survey_;
-  bool requested_cached_parts_ = false;
+  gateway::CacheSurvey cache_survey_;
+  bool requested_initial_state_ = false;
   gateway::Gateway gateway_;
-  http::Server callers_;
-  http::Server ready_;
-  http::Server directory_;
+  http::Server caller_server_;
+  http::Server ready_server_;
+  http::Server directory_server_;
   std::unique_ptr<http::Server> metrics_server_;
   metrics::MetricsRegistry metrics_;
   MonotonicTime shutdown_time_{};  ///< Set when a stop begins.
-  StopSequence stop_;
+  StopSequence stop_sequence_;
 };
 
 }  // namespace ochrespring::gateway_node
--- a/src/gateway_node/node_duties.cc
+++ b/src/gateway_node/node_duties.cc
@@ -14,39 +14,39 @@
 
 }  // namespace
 
-NodeDuties::NodeDuties(Dependencies world, const NodeDutiesOptions& options, const Peers& peers)
-    : deps_(world),
-      started_(world.clock.now()),
-      lease_({world.clock, world.timers, world.random, world.store, world.logger},
+NodeDuties::NodeDuties(Dependencies deps, const NodeDutiesOptions& options, const Peers& peers)
+    : deps_(deps),
+      started_(deps.clock.now()),
+      lease_({deps.clock, deps.timers, deps.random, deps.store, deps.logger},
              {.holder_key = options.key_prefix + "holder",
               .history_key = options.key_prefix + "history",
               .offset_key = options.key_prefix + "fence-offset",
               .node = options.node,
-              .life = world.random.next(),
+              .life = deps.random.next(),
               .time_to_live = options.lease},
              {.to_claim = [this, first = peers.eligibility.to_claim] { return may_claim(first); },
               .to_hold = peers.eligibility.to_hold}) {
-  if (world.usage_sink != nullptr) {
-    wall_clock_.emplace(world.clock, world.timers);
-    meter_.emplace(*wall_clock_, world.timers,
+  if (deps.usage_sink != nullptr) {
+    wall_clock_.emplace(deps.clock, deps.timers);
+    meter_.emplace(*wall_clock_, deps.timers,
                    usage::UsageMeterOptions{.node = options.node,
-                                            .life = world.random.next(),
+                                            .life = deps.random.next(),
                                             .windows = options.usage_windows,
                                             .retention = options.usage_due},
                    [this, send_usage = peers.send_usage](const usage::UsageReport& report) {
                      tally_.take(report);
                      send_usage(report);
                    });
-    reporter_.emplace(usage::UsageReporter::World{world.timers, world.store, world.logger,
-                                                  *wall_clock_, lease_, tally_, *world.usage_sink},
+    reporter_.emplace(usage::UsageReporter::World{deps.timers, deps.store, deps.logger,
+                                                  *wall_clock_, lease_, tally_, *deps.usage_sink},
                       usage::UsageReporterOptions{.key_prefix = options.key_prefix + "usage/",
                                                   .windows = options.usage_windows,
                                                   .due = options.usage_due});
   }
-  if (world.server_provider != nullptr) {
+  if (deps.server_provider != nullptr) {
     servers_.emplace(
-        fleet_control::ServerController::World{world.clock, world.timers, world.store, world.logger,
-                                               world.fleet, lease_, *world.server_provider},
+        fleet_control::ServerController::World{deps.clock, deps.timers, deps.store, deps.logger,
+                                               deps.fleet, lease_, *deps.server_provider},
         fleet_control::ServerControllerOptions{.key_prefix = options.key_prefix + "servers/",
                                                .plan = options.server_plan});
   }
@@ -74,12 +74,12 @@
   }
 }
 
-bool NodeDuties::may_claim(const std::function<bool()>& first_choice) const {
+bool NodeDuties::may_claim(const std::function<bool()>& is_first_choice) const {
   const MonotonicTime now = deps_.clock.now();
   const auto current_at = deps_.fleet.current_at();
   const bool knows_fleet =
       current_at && *current_at - started_ >= kRegistrationTime && now - *current_at < kMaxViewAge;
-  return knows_fleet && first_choice();
+  return knows_fleet && is_first_choice();
 }
 
 void NodeDuties::note_run(const TenantName& tenant, Duration ago) {
--- a/src/gateway_node/node_duties.h
+++ b/src/gateway_node/node_duties.h
@@ -22,9 +22,10 @@
 struct NodeDutiesOptions {
   std::string key_prefix;  ///< Of the duties' keys in the store.
   NodeId node;
+  /// Time after which the lease of the duties expires if it is not renewed.
   Duration lease{std::chrono::milliseconds(3000)};
   usage::WindowLength usage_windows;
-  Duration usage_due{std::chrono::seconds(10)};
+  Duration usage_due{std::chrono::seconds(10)};  ///< From the end of a usage window to its report.
   fleet_control::ServerPlanOptions server_plan{};
 };
 
@@ -45,8 +46,9 @@
     fleet_control::ServerProvider* server_provider;  ///< Null: no servers are ordered.
   };
   struct Peers {
-    duties::DutyLease::Fitness eligibility;  ///< According to this node's directory.
-    usage::UsageMeter::Send send_usage;      ///< To the nodes that may hold the duties.
+    /// Whether this node may claim and hold the lease, according to its directory.
+    duties::DutyLease::Fitness eligibility;
+    usage::UsageMeter::Send send_usage;  ///< To the nodes that may hold the duties.
   };
 
   NodeDuties(Dependencies deps, const NodeDutiesOptions& options, const Peers& peers);
@@ -56,8 +58,8 @@
   void note_run(const TenantName& tenant, Duration ago);
   /// Receives the usage of another node.
   void receive_usage(const usage::UsageReport& report) { tally_.take(report); }
-  /// Called when this node accepts no more requests. Sends the remaining usage and gives the lease
-  /// up.
+  /// Called when the planned stop begins, while requests are still served. Sends the usage counted
+  /// so far and stops holding the lease.
   void leave();
   /// Called when the store was restored from an older copy.
   void on_store_rolled_back();
@@ -67,8 +69,8 @@
 
  private:
   /// Returns whether this node's view is recent and was current after all nodes had time to
-  /// register, and `first_choice` returns true.
-  bool may_claim(const std::function<bool()>& first_choice) const;
+  /// register, and `is_first_choice` returns true.
+  bool may_claim(const std::function<bool()>& is_first_choice) const;
   void flush_usage();
 
   Dependencies deps_;
--- a/src/gateway_node/peer_channel.cc
+++ b/src/gateway_node/peer_channel.cc
@@ -14,8 +14,9 @@
 /// since. A node that is still leaving repeats the notice sooner.
 constexpr Duration kMaxLeavingDelay = std::chrono::milliseconds(500);
 
-/// Removes the ended attempts from a report. Every receiver counts them, and both relays of a zone
-/// pass on what they receive, so they are sent to only one of the relays, in turns.
+/// Removes the ended attempts from a report. Every receiver adds them up, and both relays of a zone
+/// pass on what they receive, so only one of them receives the ended attempts: the relays take
+/// turns by the report's sequence number.
 peer_load::WorkReport without_attempt_ends(peer_load::WorkReport report) {
   for (peer_load::EngineWork& work : report.engines) {
     work.ended = 0;
@@ -33,8 +34,8 @@
   if (!message) {
     return;
   }
-  // The time in the queue adds to the age of the polled state: a node whose view seemed newer than
-  // it is would refuse requests that a newer configuration allows.
+  // Adds the queueing time to the age of the update. Otherwise the view would count as current, and
+  // requests that only a newer configuration allows would be refused.
   if (auto* update = std::get_if<discovery::ViewUpdate>(&message.value())) {
     update->age += waited;
   } else if (auto* relayed = std::get_if<ViewUpdateToRelay>(&message.value())) {
@@ -99,9 +100,6 @@
   }
 }
 
-/// In a large fleet each node sends the offer to the relays of its zone, and a relay sends it to
-/// all nodes of the zone. A relay that has just started thus learns of a view from any node, and
-/// any node from a relay.
 void PeerChannel::broadcast_offer(const ViewOffer& offer) {
   if (!relays_.in_use()) {
     send_to_others(offer);
@@ -161,7 +159,7 @@
   send_to(relays_.zone_members(), wrapped.message);
 }
 
-/// A relay's own report is sent like those of other nodes and need not be combined with them.
+/// A relay sends its own report to its zone directly, without combining it with those of others.
 void PeerChannel::broadcast_profiles(const engine_profiles::ProfileReport& report) {
   broadcast_to_all(report);
 }
--- a/src/gateway_node/peer_channel.h
+++ b/src/gateway_node/peer_channel.h
@@ -91,6 +91,9 @@
   /// Sends to all nodes that poll the store: every node, or in a large fleet every relay.
   void broadcast_position(const discovery::PositionReport& report) { broadcast_to_relays(report); }
   void broadcast_history(const discovery::HistoryReport& report) { broadcast_to_relays(report); }
+  /// Sends to every node. In a large fleet each node sends the offer to the relays of its zone, and
+  /// a relay to all nodes of its zone, so that a relay that has just started learns of a view from
+  /// any node, and any node from a relay.
   void broadcast_offer(const ViewOffer& offer);
   /// Sends to all nodes that may hold the duties: every node, or in a large fleet every relay.
   void broadcast_usage(const usage::UsageReport& report) { broadcast_to_relays(report); }
@@ -102,7 +105,8 @@
   void broadcast_limits(const rate_limit::LimitReport& report);
   /// Sends to every node, in a large fleet through the relays.
   void broadcast_notice(const admission::BackendNotice& notice);
-  /// Sends to every node, in a large fleet through the relays, which combine the reports.
+  /// Sends to every node, in a large fleet through the relays, which combine the reports of other
+  /// nodes.
   void broadcast_profiles(const engine_profiles::ProfileReport& report);
   /// As a relay, sends to the nodes of its zone.
   void broadcast_profiles_to_zone(const engine_profiles::RelayedProfileReports& reports) {
@@ -123,7 +127,8 @@
   /// Returns this node's part in reading the store. In a large fleet the relays are the readers,
   /// ranked with the first relay of each zone before the second ones.
   discovery::ReadingAssignment reading_assignment() const;
-  /// Returns the other nodes of this node's zone, or all other nodes if the zone has none.
+  /// Returns the other nodes of this node's zone, including those whose registration was removed
+  /// recently, or all other nodes if there are none in the zone.
   std::vector<discovery::NodeRecord> nearby_nodes() const;
   const PeerTraffic& traffic(std::size_t kind) const { return traffic_[kind]; }
 
--- a/src/gateway_node/peer_message.h
+++ b/src/gateway_node/peer_message.h
@@ -26,8 +26,9 @@
   }
 };
 
-/// Announces that a node accepts no more requests. The node also removes its registration, but that
-/// requires a reachable store.
+/// Announces that a node is stopping and must not be chosen for new requests, although it still
+/// serves those that arrive. The node also removes its registration, but that requires a reachable
+/// store.
 struct NodeLeaving {
   NodeId node;
   shared_store::StoreRevision registered;  ///< Revision of its registration.
--- a/src/gateway_node/adapter.h
+++ b/src/gateway_node/platform_interfaces.h
@@ -1,4 +1,4 @@
-// Connects a gateway node to the platform it runs on.
+// The platform interfaces that a gateway node uses.
 #pragma once
 
 #include <functional>
@@ -16,14 +16,13 @@
 
 /// The interfaces of the platform that a gateway node uses. The referenced objects must outlive the
 /// node.
-struct Adapter {
+struct PlatformInterfaces {
   const gateway::HeaderNames& names;
   const gateway::EngineCalls& engines;
   const discovery::FleetCodec& codec;
   shared_store::SharedStore& store;
-  /// Null if no usage is reported, or no servers are ordered.
-  usage::UsageSink* usage_sink = nullptr;
-  fleet_control::ServerProvider* server_provider = nullptr;
+  usage::UsageSink* usage_sink = nullptr;                    ///< Null: no usage is reported.
+  fleet_control::ServerProvider* server_provider = nullptr;  ///< Null: no servers are ordered.
   /// Adds the page that reports whether the node is ready.
   std::function<void(http::Server&, std::function<bool()> ready)> add_ready_page;
   /// Adds the page that lists the nodes that callers may use.
--- a/src/gateway_node/settings.cc
+++ b/src/gateway_node/settings.cc
@@ -27,12 +27,12 @@
 constexpr const char* kSlackRule = "a number from 0 to 1000000";
 constexpr const char* kSeedsRule = "comma-separated addresses IP:PORT";
 constexpr const char* kMegabitRule = "megabits per second from 0 to 10000000";
-constexpr const char* kSwitchRule = "0 or 1";
-constexpr const char* kNodesRule = "a number from 2 to 1000000";
+constexpr const char* kZeroOrOneRule = "0 or 1";
+constexpr const char* kRelayFromNodesRule = "a number from 2 to 1000000";
 constexpr const char* kDutiesRule = "comma-separated names: usage_report, autoscale";
 constexpr const char* kHeadroomRule = "a number from 0 to 10";
 constexpr const char* kFractionRule = "a number from 0 to 1";
-/// A node has 120 MB of memory and uses some kilobytes per request besides its body.
+/// A waiting request takes a few kilobytes besides its body, and a node has 120 MB of memory.
 constexpr NumberRange kQueueRequestsRange{0, 20'000};
 constexpr const char* kQueueRequestsRule = "a whole number from 0 to 20000; 0 disables the queue";
 constexpr NumberRange kQueueBytesRange{1'024, 1'073'741'824};
@@ -45,11 +45,11 @@
   std::string allowed;
   std::string default_value;
   bool required = false;
-  std::function<bool(const std::string&, Settings&)> store;
+  std::function<bool(const std::string&, Settings&)> parse;
 };
 
 template <class Text>
-auto store_name(Text Settings::*member) {
+auto name_parser(Text Settings::*member) {
   return [member](const std::string& text, Settings& settings) {
     std::string name;
     const bool allowed = settings::read_name(text, name);
@@ -58,13 +58,13 @@
   };
 }
 
-auto store_listen(Endpoint Settings::*member) {
+auto listen_parser(Endpoint Settings::*member) {
   return [member](const std::string& text, Settings& settings) {
     return settings::read_listen_endpoint(text, settings.*member);
   };
 }
 
-auto store_milliseconds(Duration Settings::*member) {
+auto milliseconds_parser(Duration Settings::*member) {
   return [member](const std::string& text, Settings& settings) {
     std::uint64_t number = 0;
     const bool allowed = settings::read_number(text, kMillisecondRange, number);
@@ -79,7 +79,7 @@
   return end != text.c_str() && *end == '\0' && value >= min && value <= max;
 }
 
-auto store_queue_limit(std::size_t admission_queue::QueueLimits::*member, NumberRange range) {
+auto queue_limit_parser(std::size_t admission_queue::QueueLimits::*member, NumberRange range) {
   return [=](const std::string& text, Settings& settings) {
     std::uint64_t number = 0;
     const bool allowed = settings::read_number(text, range, number);
@@ -88,9 +88,9 @@
   };
 }
 
-/// Stores a number as an integer; a fraction is discarded.
+/// Parses a number and stores it as an integer; a fraction is discarded.
 template <class Member>
-auto store_integer(Member Settings::*member, double min, double max) {
+auto integer_parser(Member Settings::*member, double min, double max) {
   return [=](const std::string& text, Settings& settings) {
     double number = 0;
     const bool allowed = read_real(text, min, max, number);
@@ -101,14 +101,14 @@
   };
 }
 
-bool store_seconds(const std::string& text, Duration& duration) {
+bool parse_seconds(const std::string& text, Duration& duration) {
   double seconds = 0;
   const bool allowed = read_real(text, 0.1, 3600, seconds);
   duration = from_seconds(seconds);
   return allowed;
 }
 
-bool store_seeds(const std::string& text, Settings& settings) {
+bool parse_seeds(const std::string& text, Settings& settings) {
   std::istringstream addresses(text);
   std::string address;
   settings.seeds.clear();
@@ -120,14 +120,14 @@
   return true;
 }
 
-auto store_duration(Duration Settings::*member) {
+auto duration_parser(Duration Settings::*member) {
   return [member](const std::string& text, Settings& settings) {
-    return store_seconds(text, settings.*member);
+    return parse_seconds(text, settings.*member);
   };
 }
 
 /// Ignores names of unknown duties, which other nodes may know.
-bool store_duties(const std::string& text, Settings& settings) {
+bool parse_duties(const std::string& text, Settings& settings) {
   std::istringstream names(text);
   std::string name;
   while (std::getline(names, name, ',')) {
@@ -139,22 +139,22 @@
 
 std::vector<Specification> make_specifications() {
   return {
-      {"node", "Name of this node", settings::kNameRule, "", true, store_name(&Settings::node)},
-      {"zone", "Zone of this node", settings::kNameRule, "", true, store_name(&Settings::zone)},
+      {"node", "Name of this node", settings::kNameRule, "", true, name_parser(&Settings::node)},
+      {"zone", "Zone of this node", settings::kNameRule, "", true, name_parser(&Settings::zone)},
       {"listen", "Address for callers' requests", settings::kEndpointRule, "", true,
-       store_listen(&Settings::listen)},
+       listen_parser(&Settings::listen)},
       {"ready-listen", "Address for readiness checks", settings::kEndpointRule, "", true,
-       store_listen(&Settings::ready_listen)},
+       listen_parser(&Settings::ready_listen)},
       {"directory-listen", "Address for lookups of nodes", settings::kEndpointRule, "", true,
-       store_listen(&Settings::directory_listen)},
+       listen_parser(&Settings::directory_listen)},
       {"peer-listen", "Address for other nodes' datagrams", settings::kEndpointRule, "", true,
-       store_listen(&Settings::peer_listen)},
+       listen_parser(&Settings::peer_listen)},
       {"metrics-listen", "Address for /metrics; none if absent", settings::kEndpointRule, "", false,
-       store_listen(&Settings::metrics_listen)},
+       listen_parser(&Settings::metrics_listen)},
       {"view-listen", "Address for other nodes' requests for this node's view; none if absent",
-       settings::kEndpointRule, "", false, store_listen(&Settings::view_listen)},
-      {"seeds", "View addresses of other nodes, to ask while the store is unreachable", kSeedsRule,
-       "", false, store_seeds},
+       settings::kEndpointRule, "", false, listen_parser(&Settings::view_listen)},
+      {"seeds", "View addresses of nodes to ask for a view while this node has none", kSeedsRule,
+       "", false, parse_seeds},
       {"store", "Address of the shared store", settings::kPeerEndpointRule, "", true,
        [](const std::string& text, Settings& target) {
          return settings::read_remote_endpoint(text, target.store);
@@ -170,47 +170,50 @@
        }},
       {"retry-window-s", "Window of the retry budget", kSecondsRule, "10", false,
        [](const std::string& text, Settings& target) {
-         return store_seconds(text, target.retry_budget.window);
+         return parse_seconds(text, target.retry_budget.window);
        }},
       {"queue-most-requests",
        "Maximum number of requests per service that wait at this node for full back ends",
        kQueueRequestsRule, "0", false,
-       store_queue_limit(&admission_queue::QueueLimits::requests, kQueueRequestsRange)},
+       queue_limit_parser(&admission_queue::QueueLimits::requests, kQueueRequestsRange)},
       {"queue-most-bytes", "Maximum total size of the bodies of waiting requests per service",
        kQueueBytesRule, "16777216", false,
-       store_queue_limit(&admission_queue::QueueLimits::bytes, kQueueBytesRange)},
+       queue_limit_parser(&admission_queue::QueueLimits::bytes, kQueueBytesRange)},
       {"replicate-resumable-streams",
-       "1: streams that may be retried are also replicated to a second engine as they grow",
-       kSwitchRule, "0", false, store_integer(&Settings::replicate_resumable_streams, 0, 1)},
-      {"stop-grace-s", "Time from the stop signal to the forced end", kSecondsRule, "8", false,
+       "1: streams that may be resumed are also replicated to a second engine as they grow",
+       kZeroOrOneRule, "0", false, integer_parser(&Settings::replicate_resumable_streams, 0, 1)},
+      {"stop-grace-s",
+       "Time that a planned stop may take; remaining requests are ended 0.5 s earlier",
+       kSecondsRule, "8", false,
        [](const std::string& text, Settings& target) {
-         return store_seconds(text, target.stop_grace);
+         return parse_seconds(text, target.stop_grace);
        }},
       {"node-lease-ms", "Time after which this node's registration expires if it is not renewed",
-       kMillisecondRule, "3000", false, store_milliseconds(&Settings::node_lease)},
+       kMillisecondRule, "3000", false, milliseconds_parser(&Settings::node_lease)},
       {"drain-bound-ms",
        "Time from the drain of a back end in the store to the last new request sent to it",
-       kMillisecondRule, "2000", false, store_milliseconds(&Settings::drain_bound)},
+       kMillisecondRule, "2000", false, milliseconds_parser(&Settings::drain_bound)},
       {"configuration-bound-ms",
        "Time from the change of the configuration in the store to its being in force",
-       kMillisecondRule, "2000", false, store_milliseconds(&Settings::configuration_bound)},
+       kMillisecondRule, "2000", false, milliseconds_parser(&Settings::configuration_bound)},
       {"link-mbps", "Speed of this machine's network link, by which relays are selected",
-       kMegabitRule, "0", false, store_integer(&Settings::link_mbps, 0, 1e7)},
-      {"relay-from-nodes", "Number of nodes from which on broadcasts between them are relayed",
-       kNodesRule, "48", false, store_integer(&Settings::relay_from_nodes, 2, 1e6)},
+       kMegabitRule, "0", false, integer_parser(&Settings::link_mbps, 0, 1e7)},
+      {"relay-from-nodes",
+       "Minimum number of nodes in the fleet at which broadcasts between them are relayed",
+       kRelayFromNodesRule, "48", false, integer_parser(&Settings::relay_from_nodes, 2, 1e6)},
       {"relay-gather-ms", "Time for which a relay combines reports before it sends them",
-       kMillisecondRule, "10", false, store_milliseconds(&Settings::relay_batch_window)},
+       kMillisecondRule, "10", false, milliseconds_parser(&Settings::relay_batch_window)},
       {"cloud", "Address that receives usage reports and server orders; none if absent",
        settings::kPeerEndpointRule, "", false,
        [](const std::string& text, Settings& target) {
          return settings::read_remote_endpoint(text, target.cloud);
        }},
       {"duties", "Duties that one of the nodes performs for the fleet", kDutiesRule, "", false,
-       store_duties},
+       parse_duties},
       {"usage-window-s", "Length of a usage window", kSecondsRule, "5", false,
-       store_duration(&Settings::usage_window)},
+       duration_parser(&Settings::usage_window)},
       {"usage-due-s", "Time from the end of a usage window to its report", kSecondsRule, "10",
-       false, store_duration(&Settings::usage_due)},
+       false, duration_parser(&Settings::usage_due)},
       {"preemptible-head-room",
        "Preemptible servers ordered for each server needed after the loss of a zone", kHeadroomRule,
        "1", false,
@@ -276,7 +279,7 @@
       }
       return;
     }
-    if (!specification.store(text, target)) {
+    if (!specification.parse(text, target)) {
       errors.push_back(
           {SettingsErrc::kInvalidValue, specification.key + ": '" + text +
                                             "' is not allowed; allowed: " + specification.allowed});
--- a/src/gateway_node/settings.h
+++ b/src/gateway_node/settings.h
@@ -24,21 +24,24 @@
   Endpoint metrics_listen;      ///< For metrics; empty if none are served.
   Endpoint peer_listen;         ///< For other nodes' datagrams.
   Endpoint view_listen;         ///< For other nodes' requests for this node's view; may be empty.
-  std::vector<Endpoint> seeds;  ///< Nodes to ask for their view while the store is unreachable.
+  std::vector<Endpoint> seeds;  ///< Nodes to ask for a view while this node has none.
   Endpoint store;               ///< The shared store.
   gateway::RetryBudgetSettings retry_budget;
   /// Limits per service for requests that wait at this node for full back ends.
   admission_queue::QueueLimits queue;
-  Duration stop_grace{std::chrono::seconds(8)};  ///< From the stop signal to the forced end.
+  /// Time that a planned stop may take. Remaining requests are ended 0.5 s earlier, or 0.5 s after
+  /// the stop signal if the grace period is shorter than 1 s.
+  Duration stop_grace{std::chrono::seconds(8)};
   /// Time after which a draining back end receives no new requests.
   Duration drain_bound{std::chrono::milliseconds(2000)};
   /// Time after which a new configuration is in force.
   Duration configuration_bound{std::chrono::milliseconds(2000)};
   Duration node_lease{std::chrono::seconds(3)};
   std::uint32_t link_mbps = 0;  ///< Speed of this machine's network link; 0 if unknown.
-  /// Number of nodes from which on broadcasts between nodes are relayed.
+  /// Minimum number of nodes in the fleet at which broadcasts between nodes are relayed.
   std::uint32_t relay_from_nodes = 48;
-  std::uint32_t replicate_resumable_streams = 0;  ///< 0 or 1.
+  /// 1: streams that may be resumed are replicated to a second engine; 0: they are not.
+  std::uint32_t replicate_resumable_streams = 0;
   /// Time for which a relay combines reports before it sends them to its zone.
   Duration relay_batch_window{std::chrono::milliseconds(10)};
   Endpoint cloud;  ///< Receives the calls of the duties; empty if there are no duties.
@@ -54,7 +57,7 @@
 struct ParsedCommandLine {
   settings::Command command = settings::Command::kRun;
   Settings settings;
-  std::string text;
+  std::string text;  ///< Help or version text to print if the command is kHelp.
 };
 
 /// Parses flags and the file given by --config. Flags take precedence. Unknown keys of the file are
--- a/src/gateway_node/stop_sequence.h
+++ b/src/gateway_node/stop_sequence.h
@@ -10,20 +10,23 @@
 
 /// Times of the steps of a planned stop.
 struct StopTimes {
-  /// From the stop signal until requests that may outlast the grace period are refused. Callers
-  /// count on an answer from 3 s after the signal on; the half second before that covers requests
-  /// in transit.
+  /// Delay from the stop signal until the gateway starts to refuse requests that may not complete
+  /// within the grace period or would wait for a newer configuration. Callers expect that a request
+  /// sent later than 3 s after the signal is answered; the 500 ms before that cover requests in
+  /// transit. At most a third of the grace period, so it is shorter for a grace below 7.5 s.
   Duration refuse_long_after{std::chrono::milliseconds(2500)};
-  /// Time for which callers may still use an old answer of the directory that contains this node.
+  /// Delay from the stop signal until the node stops accepting connections: the time for which
+  /// callers may still use an old answer of the directory that contains this node. At most half of
+  /// the grace period.
   Duration directory_staleness{std::chrono::milliseconds(3500)};
-  /// The node must have been idle for this long before it finishes. Also the interval of the
-  /// checks.
+  /// Interval of the checks for idleness. Two checks in a row must find the node idle before it
+  /// finishes.
   Duration idle_period{std::chrono::milliseconds(50)};
   /// From the stop signal until remaining requests are ended by force; the process finishes
   /// `idle_period` later.
   Duration grace{std::chrono::milliseconds(7500)};
 
-  /// Returns the times for a grace period. The earlier steps come sooner if it is short.
+  /// Returns the times for a grace period. The first two steps come sooner if it is short.
   static StopTimes within(Duration grace);
 };
 
@@ -38,7 +41,7 @@
     std::function<void()> stop_accepting;  ///< Accept no new connections.
     std::function<void()> finish;          ///< End the process.
     std::function<std::size_t()> running;  ///< Number of requests in progress.
-    /// Refuse requests that may outlast the grace period from now on; may be empty.
+    /// Start to refuse requests that may outlast the grace period; may be empty.
     std::function<void()> refuse_long_requests{};
     /// Give each request in progress its final answer; may be empty.
     std::function<void()> end_requests{};
@@ -48,8 +51,9 @@
 
   /// Handles the stop signal; a second signal has no effect.
   void begin(const StopTimes& times);
-  /// Called when the last request may have ended, so that finishing need not wait for the next
-  /// check.
+  /// Called when the last request may have ended. Checks for idleness immediately and requires two
+  /// idle checks from then on. Has no effect before `directory_staleness` has passed or after the
+  /// forced end has begun.
   void on_idle();
   bool begun() const { return begun_; }
 
--- a/src/gateway_node/view_exchange.cc
+++ b/src/gateway_node/view_exchange.cc
@@ -19,7 +19,7 @@
 
 /// Identifies the format of a view. Earlier builds serve theirs at another path, because neither
 /// can read the other's format.
-constexpr const char* kPath = "/view/2";
+constexpr const char* kViewPath = "/view/2";
 constexpr const char* kContentType = "application/octet-stream";
 /// Headers of a request: the revision after which changes are requested, its store era, and the
 /// address at which the requesting node will serve its own view.
@@ -28,8 +28,8 @@
 constexpr const char* kRequesterHeader = "view-asker";
 /// Header of an answer: time in microseconds for which it was cached before it was sent.
 constexpr const char* kCachedTimeHeader = "view-kept-us";
-constexpr Duration kTimeout = std::chrono::milliseconds(800);
-constexpr Duration kConnectTimeout = std::chrono::milliseconds(300);
+constexpr Duration kRequestTimeout = std::chrono::milliseconds(800);
+constexpr Duration kRequestConnectTimeout = std::chrono::milliseconds(300);
 /// Time for which an encoded answer is reused: encoding 10,000 servers takes about 0.1 s on a tenth
 /// of a core.
 constexpr Duration kAnswerLifetime = std::chrono::milliseconds(200);
@@ -82,7 +82,7 @@
   if (options_.listen.empty()) {
     return outcome::success();
   }
-  server_.route(kPath, [this](const http::Request& request, const auto& response) {
+  server_.route(kViewPath, [this](const http::Request& request, const auto& response) {
     serve(request, *response);
   });
   return server_.listen();
@@ -185,9 +185,9 @@
 void ViewExchange::request(const ViewRequest& wanted, std::function<void(FetchResult)> done) {
   http::ClientRequest call;
   call.endpoint = wanted.holder;
-  call.path = kPath;
-  call.timeout = kTimeout;
-  call.connect_timeout = kConnectTimeout;
+  call.path = kViewPath;
+  call.timeout = kRequestTimeout;
+  call.connect_timeout = kRequestConnectTimeout;
   if (wanted.after) {
     call.headers.push_back({kAfterHeader, std::to_string(wanted.after->value())});
     call.headers.push_back({kEraHeader, std::to_string(wanted.after->era().value())});
--- a/src/gateway_node/view_exchange.h
+++ b/src/gateway_node/view_exchange.h
@@ -20,9 +20,9 @@
 namespace ochrespring::gateway_node {
 
 /// Transfers views compressed: 10,000 servers take about 1.2 MB uncompressed. Requests that arrive
-/// at about the same time share one encoded answer. A node whose link is full refuses requests and
-/// names some of the nodes that it has served instead, so that a view spreads as a tree. Not
-/// thread-safe; used on one event loop.
+/// at about the same time share one encoded answer. A node that has no view or whose link is
+/// full refuses requests and names some of the nodes that it has served instead, so that a view
+/// spreads as a tree. Not thread-safe; used on one event loop.
 class ViewExchange {
  public:
   using Transfer = std::optional<discovery::ViewTransfer>;
@@ -50,14 +50,15 @@
   Result<void, http::HttpError> listen();
   /// Returns the bound address, with the actual port.
   Endpoint bound() const { return server_.bound(); }
-  /// Records that another node offers its view at `source`.
+  /// Records the address of a node from which views can be fetched. fetch() tries the most recent
+  /// one first.
   void note_source(const Endpoint& source);
   /// Requests the complete view of the next node in turn among those that offered their view, the
   /// seeds and a random one of `others`. Calls `done` with nothing if there is no such node, or if
   /// it has no view or does not answer.
   void fetch(const std::vector<Endpoint>& others, discovery::TransferCallback done);
-  /// Requests the view of one node that has announced it. If that node refuses because its link is
-  /// full, requests it from one of the nodes that it names.
+  /// Requests the view of one node that has announced it. If that node refuses, requests it from
+  /// one of the nodes that it names.
   void fetch_from(const discovery::ViewRequest& wanted, discovery::TransferCallback done);
 
  private:
@@ -92,7 +93,7 @@
   TransferBudget budget_;
   std::deque<CachedAnswer> cached_answers_;
   std::deque<Endpoint> served_;   ///< Newest first.
-  std::deque<Endpoint> sources_;  ///< Newest offer first.
+  std::deque<Endpoint> sources_;  ///< Most recently noted first.
   std::size_t next_candidate_ = 0;
 };
 
