--- a/src/gateway_node/node_duties.cc
+++ b/src/gateway_node/node_duties.cc
@@ -22,7 +22,7 @@
               .history_key = options.key_prefix + "history",
               .offset_key = options.key_prefix + "fence-offset",
               .node = options.node,
-              .incarnation = deps.random.next(),
+              .life = deps.random.next(),
               .time_to_live = options.lease},
              {.to_claim = [this, first = peers.eligibility.to_claim] { return may_claim(first); },
               .to_hold = peers.eligibility.to_hold}) {
@@ -30,7 +30,7 @@
     wall_clock_.emplace(deps.clock, deps.timers);
     meter_.emplace(*wall_clock_, deps.timers,
                    usage::UsageMeterOptions{.node = options.node,
-                                            .incarnation = deps.random.next(),
+                                            .life = deps.random.next(),
                                             .windows = options.usage_windows,
                                             .retention = options.usage_due},
                    [this, send_usage = peers.send_usage](const usage::UsageReport& report) {
@@ -74,12 +74,12 @@
   }
 }
 
-bool NodeDuties::may_claim(const std::function<bool()>& first_choice) const {
+bool NodeDuties::may_claim(const std::function<bool()>& is_first_choice) const {
   const MonotonicTime now = deps_.clock.now();
   const auto current_at = deps_.fleet.current_at();
   const bool knows_fleet =
       current_at && *current_at - started_ >= kRegistrationTime && now - *current_at < kMaxViewAge;
-  return knows_fleet && first_choice();
+  return knows_fleet && is_first_choice();
 }
 
 void NodeDuties::note_run(const TenantName& tenant, Duration ago) {
