--- a/src/gateway_node/tests/compatibility_test.cc
+++ b/src/gateway_node/tests/compatibility_test.cc
@@ -156,11 +156,11 @@
 }
 
 TEST_CASE("messages unknown to the previous build start with a kind unknown to it") {
-  constexpr std::size_t kKindsBefore = 10;
-  CHECK(PeerMessage(discovery::ViewUpdate()).index() >= kKindsBefore);
-  CHECK(PeerMessage(UpdateToRelay()).index() >= kKindsBefore);
-  CHECK(PeerMessage(NodeLeaving()).index() >= kKindsBefore);
-  CHECK(PeerMessage(NodeLeavingToRelay()).index() >= kKindsBefore);
+  constexpr std::size_t kKindsBeforeStoreEras = 10;
+  CHECK(PeerMessage(discovery::ViewUpdate()).index() >= kKindsBeforeStoreEras);
+  CHECK(PeerMessage(UpdateToRelay()).index() >= kKindsBeforeStoreEras);
+  CHECK(PeerMessage(NodeLeaving()).index() >= kKindsBeforeStoreEras);
+  CHECK(PeerMessage(NodeLeavingToRelay()).index() >= kKindsBeforeStoreEras);
   constexpr std::size_t kKindsBeforeRateLimits = 14;
   CHECK(PeerMessage(rate_limit::LimitReport()).index() == kKindsBeforeRateLimits);
   CHECK(PeerMessage(rate_limit::PermitReply()).index() == kKindsBeforeRateLimits + 3);
--- a/src/gateway_node/tests/crash_fleet.h
+++ b/src/gateway_node/tests/crash_fleet.h
@@ -181,15 +181,15 @@
   double loss = 0;                ///< Fraction of datagrams between nodes that is lost.
   std::uint64_t seed = 7;
   std::uint32_t relay_from_nodes = 48;
-  bool still_clock = false;           ///< The nodes' clock stops while they are suspended.
+  bool clock_stops_when_suspended = false;
   bool quick_restarts = false;        ///< Back ends restart within 1.2 s, under the same name.
   bool quarantine_enabled = true;     ///< Off: shows the effect of the quarantine.
   bool rate_limiting_enabled = true;  ///< Off: nodes ignore rate limits of back ends.
   std::uint32_t skipped_draws = 0;    ///< Random numbers each node discards first.
 };
 
-/// Outcomes of requests.
-struct CallerCounts {
+/// Outcomes of requests, by status.
+struct RequestOutcomes {
   std::uint32_t sent = 0;
   std::uint32_t served = 0;
   std::uint32_t refused = 0;  ///< 503.
@@ -198,7 +198,8 @@
 
 class CrashFleet {
  public:
-  /// A node that has had no fault for this long must obey the quarantine after the third crash.
+  /// Time after the end of a node's last fault, or after the event that nodes must react to, before
+  /// its behaviour is checked.
   static constexpr Duration kSettlingTime{3s};
 
   explicit CrashFleet(const CrashFleetOptions& options) : options_(options), random(options.seed) {
@@ -269,14 +270,15 @@
     return caller;
   }
 
-  /// Sends `body` to random nodes for `span`, on average once per `pause`; counts in `callers`.
+  /// Sends `body` to random nodes for `span`, on average once per `pause`; counts in
+  /// `repeated_requests`.
   void send_repeatedly(const std::string& path, const std::string& body, Duration pause,
                        Duration span) {
     if (span <= Duration::zero()) {
       return;
     }
     send(random.below(nodes.size()), path, body,
-         [this, body](int status) { count(callers[body], status); });
+         [this, body](int status) { count(repeated_requests[body], status); });
     const Duration wait = random_duration(pause / 2, pause * 3 / 2);
     time.schedule_after(wait, [this, path, body, pause, span, wait] {
       send_repeatedly(path, body, pause, span - wait);
@@ -309,7 +311,7 @@
   }
 
   /// Terminates a back end and everything that runs there. It restarts after 2 to 3.5 s with a new
-  /// id, or sooner under the same name with `quick_restarts`.
+  /// id, or with `quick_restarts` after 0.3 to 1.2 s under the same name.
   void crash(FakeBackendServer& server) {
     server.alive = false;
     const std::string id = server.backend.id.value();
@@ -320,9 +322,9 @@
     if (!options_.quick_restarts) {
       time.schedule_after(3600ms, [this, id] { state.remove("backends/" + id); });
     }
-    const Duration away =
+    const Duration downtime =
         options_.quick_restarts ? random_duration(300ms, 1200ms) : random_duration(2s, 3500ms);
-    time.schedule_after(away, [this, &server] {
+    time.schedule_after(downtime, [this, &server] {
       ++server.incarnation;
       assign_id(server);
       server.alive = true;
@@ -333,11 +335,13 @@
     });
   }
 
-  /// Requests with this body that connected nodes sent to back ends later than `kSettlingTime`
-  /// after the third crash it caused. With `store_back`, the end of an outage of the store, leaves
-  /// out those sent during the outage and until `kSettlingTime` after it.
-  std::size_t late_retries(const std::string& body,
-                           std::optional<MonotonicTime> store_back = {}) const {
+  /// Counts the requests with this body, first attempts and retries, that reached back ends later
+  /// than `kSettlingTime` after the third crash it caused. Leaves out those of nodes whose last
+  /// fault ended less than `kSettlingTime` before; a cut-off that has not ended leaves out none.
+  /// With `outage_end`, the end of an outage of the store, also leaves out those during the outage
+  /// and until `kSettlingTime` after it.
+  std::size_t count_late_sends(const std::string& body,
+                               std::optional<MonotonicTime> outage_end = {}) const {
     const auto found = crashes.find(body);
     if (found == crashes.end() || found->second.size() < 3) {
       return 0;
@@ -346,9 +350,9 @@
     return static_cast<std::size_t>(
         std::count_if(sends.begin(), sends.end(), [&](const Send& send) {
           const bool unsettled =
-              store_back && (send.store_down ||
-                             (send.at >= *store_back && send.at <= *store_back + kSettlingTime));
-          return send.body == body && send.at > bound && send.connected && !unsettled;
+              outage_end && (send.store_down ||
+                             (send.at >= *outage_end && send.at <= *outage_end + kSettlingTime));
+          return send.body == body && send.at > bound && send.settled && !unsettled;
         }));
   }
 
@@ -402,11 +406,11 @@
         }));
   }
 
-  /// Connects a request to its back end and delivers it.
-  void accept(std::size_t node, const std::shared_ptr<FleetExchange>& exchange) {
+  /// Connects a node to the back end of its request, then delivers the request.
+  void connect_to_backend(std::size_t node, const std::shared_ptr<FleetExchange>& exchange) {
     FakeBackendServer& server = server_at(exchange->request.endpoint);
     if (server.connect_delay == Duration::zero()) {
-      arrive(node, exchange, server);
+      deliver_request(node, exchange, server);
       return;
     }
     time.schedule_after(server.connect_delay, [this, node, exchange, &server] {
@@ -418,12 +422,12 @@
           exchange->observer->on_failure({http::HttpErrc::kWithdrawn, "withdrawn"}, false);
           return;
         }
-        arrive(node, exchange, server);
+        deliver_request(node, exchange, server);
       });
     });
   }
-  void arrive(std::size_t node, const std::shared_ptr<FleetExchange>& exchange,
-              FakeBackendServer& server) {
+  void deliver_request(std::size_t node, const std::shared_ptr<FleetExchange>& exchange,
+                       FakeBackendServer& server) {
     time.schedule_after(1ms, [this, node, exchange, &server] {
       if (!exchange->open) {
         return;
@@ -434,8 +438,8 @@
         });
         return;
       }
-      const bool connected = time.now() - nodes[node]->last_fault_end > kSettlingTime;
-      sends.push_back({time.now(), exchange->request.body, connected, state.down});
+      const bool settled = time.now() - nodes[node]->last_fault_end > kSettlingTime;
+      sends.push_back({time.now(), exchange->request.body, settled, state.down});
       arrivals.push_back({.at = time.now(),
                           .node = node,
                           .server = server.backend.address,
@@ -443,15 +447,16 @@
                           .caller_sent_at = request_sent_at.at(std::string(http::find_header(
                               exchange->request.headers, gateway::HeaderNames().request_id))),
                           .last_interruption = nodes[node]->last_interruption,
-                          .connected = connected && !nodes[node]->cut_off});
+                          .connected = settled && !nodes[node]->cut_off});
       serve(server, exchange);
     });
   }
 
+  /// A request that reached a back end, for count_late_sends().
   struct Send {
     MonotonicTime at;
     std::string body;
-    bool connected = true;
+    bool settled = true;  ///< The node's last fault ended more than `kSettlingTime` before.
     bool store_down = false;
   };
 
@@ -495,10 +500,10 @@
     Duration span{};  ///< The requested back-off.
   };
   std::vector<SentNotice> sent_backoffs;
-  std::vector<SentNotice> sent_leaving_notices;          ///< First per incarnation and node.
-  std::map<std::string, MonotonicTime> request_sent_at;  ///< By request id.
-  std::map<std::string, CallerCounts> callers;           ///< Of send_repeatedly(), by body.
-  CallerCounts ordinary_requests;
+  std::vector<SentNotice> sent_leaving_notices;              ///< First per incarnation and node.
+  std::map<std::string, MonotonicTime> request_sent_at;      ///< By request id.
+  std::map<std::string, RequestOutcomes> repeated_requests;  ///< Of send_repeatedly(), by body.
+  RequestOutcomes ordinary_requests;
 
   void deliver_datagram(const CrashNode& from, const Endpoint& to, std::string_view bytes) {
     if (from.cut_off || random.chance(options_.loss)) {
@@ -696,7 +701,7 @@
       done(caller->finished ? caller->head.status : 0);
     }
   }
-  static void count(CallerCounts& counts, int status) {
+  static void count(RequestOutcomes& counts, int status) {
     ++counts.sent;
     ++(status == 200 ? counts.served : status == 503 ? counts.refused : counts.unknown);
   }
@@ -713,13 +718,13 @@
   exchange->machine = &fleet_.nodes[node_]->machine;
   exchange->node = node_;
   exchange->self = exchange;
-  fleet_.accept(node_, exchange);
+  fleet_.connect_to_backend(node_, exchange);
   return std::make_unique<Handle>(exchange);
 }
 
 inline CrashNode::CrashNode(CrashFleet& fleet, std::size_t number, std::uint64_t incarnation)
     : machine(fleet.time),
-      clock(fleet.options().still_clock ? machine.still_clock() : machine.clock()),
+      clock(fleet.options().clock_stops_when_suspended ? machine.still_clock() : machine.clock()),
       random(incarnation),
       limiter_random(incarnation),
       record{NodeId("n" + std::to_string(number)), Endpoint("front"),
--- a/src/gateway_node/tests/crashing_request_test.cc
+++ b/src/gateway_node/tests/crashing_request_test.cc
@@ -21,8 +21,8 @@
 
 namespace {
 
-/// Retries allowed after a request's third crash, as sent by connected nodes.
-constexpr std::size_t kMaxLateRetries = 3;
+/// Requests allowed after a request's third crash, as counted by count_late_sends().
+constexpr std::size_t kMaxLateSends = 3;
 
 /// Sends `count` crashing requests of all kinds, each repeatedly for `span`.
 void send_crashing_requests(CrashFleet& fleet, std::size_t count, Duration span) {
@@ -33,15 +33,15 @@
   }
 }
 
-std::size_t max_late_retries(const CrashFleet& fleet) {
-  std::size_t max_retries = 0;
+std::size_t max_late_sends(const CrashFleet& fleet) {
+  std::size_t max_sends = 0;
   for (const std::string& body : fleet.crashing_bodies) {
-    max_retries = std::max(max_retries, fleet.late_retries(body));
+    max_sends = std::max(max_sends, fleet.count_late_sends(body));
   }
-  return max_retries;
+  return max_sends;
 }
 
-double share_served(const CallerCounts& counts) {
+double share_served(const RequestOutcomes& counts) {
   return static_cast<double>(counts.served) / counts.sent;
 }
 
@@ -53,11 +53,11 @@
   fleet.send_traffic(60, 30s);
   fleet.send_repeatedly("/resumable/x", "guilty", 250ms, 30s);
   fleet.advance(35s);
-  MESSAGE("crashes " << fleet.crashes["guilty"].size() << ", late retries "
-                     << fleet.late_retries("guilty") << ", ordinary requests served "
+  MESSAGE("crashes " << fleet.crashes["guilty"].size() << ", late sends "
+                     << fleet.count_late_sends("guilty") << ", ordinary requests served "
                      << fleet.ordinary_requests.served << " of " << fleet.ordinary_requests.sent);
   REQUIRE(fleet.crashes["guilty"].size() >= 3);
-  CHECK(fleet.late_retries("guilty") <= kMaxLateRetries);
+  CHECK(fleet.count_late_sends("guilty") <= kMaxLateSends);
   CHECK(fleet.crashes["guilty"].size() <= 10);
   CHECK(fleet.ordinary_requests.served >= fleet.ordinary_requests.sent * 85 / 100);
 }
@@ -66,7 +66,7 @@
   CrashFleet fleet({.quarantine_enabled = false});
   send_crashing_requests(fleet, 1, 20s);
   fleet.advance(25s);
-  CHECK(max_late_retries(fleet) > kMaxLateRetries);
+  CHECK(max_late_sends(fleet) > kMaxLateSends);
 }
 
 TEST_CASE(
@@ -78,7 +78,7 @@
       send_crashing_requests(fleet, crashing, 40s);
       fleet.advance(45s);
       CAPTURE(seed);
-      CHECK(max_late_retries(fleet) <= kMaxLateRetries);
+      CHECK(max_late_sends(fleet) <= kMaxLateSends);
       CHECK(share_served(fleet.ordinary_requests) > 0.75);
     }
   }
@@ -90,13 +90,13 @@
   send_crashing_requests(fleet, 2, 40s);
   fleet.advance(20s);
   CHECK(fleet.nodes_with_quarantined(2) == fleet.nodes.size());
-  CHECK(max_late_retries(fleet) == 0);  // Nodes cannot agree on a trial without the store.
+  CHECK(max_late_sends(fleet) == 0);  // Nodes cannot agree on a trial without the store.
   fleet.state.down = false;
   fleet.advance(8s);
   CHECK(std::count_if(fleet.state.items.begin(), fleet.state.items.end(),
                       [](const auto& item) { return item.first.starts_with("quarantine/"); }) == 2);
   fleet.advance(20s);
-  CHECK(max_late_retries(fleet) <= kMaxLateRetries);
+  CHECK(max_late_sends(fleet) <= kMaxLateSends);
 }
 
 // Guards against a loss: a fleet killed as a whole 0.3 s after an outage of the store had not yet
@@ -138,12 +138,12 @@
   fleet.advance(1s);
   CHECK(fleet.nodes_with_quarantined(2) == fleet.nodes.size());
   fleet.advance(50s);
-  CHECK(max_late_retries(fleet) <= kMaxLateRetries);
+  CHECK(max_late_sends(fleet) <= kMaxLateSends);
 }
 
 // Guards against lost suspicions: a fleet killed as a whole after the second crash forgot the first
 // two, and the request crashed three more back ends before it was stopped.
-TEST_CASE("a fleet killed as a whole after the second crash stops the request at the third") {
+TEST_CASE("a fleet killed as a whole after the second crash stops the request by the fourth") {
   CrashFleet fleet({});
   fleet.crashing_bodies = {"guilty"};
   fleet.send(0, "/resumable/x", "guilty");
@@ -183,9 +183,9 @@
   fleet.crashing_bodies.clear();
   fleet.advance(8s);
   CHECK(fleet.nodes_with_quarantined(0) == fleet.nodes.size());
-  const std::uint32_t served = fleet.callers["guilty"].served;
+  const std::uint32_t served = fleet.repeated_requests["guilty"].served;
   fleet.advance(10s);
-  CHECK(fleet.callers["guilty"].served > served + 20);
+  CHECK(fleet.repeated_requests["guilty"].served > served + 20);
   CHECK(std::none_of(fleet.state.items.begin(), fleet.state.items.end(),
                      [](const auto& item) { return item.first.starts_with("quarantine/"); }));
 }
@@ -247,7 +247,7 @@
   fleet.advance(8s);
   CHECK(fleet.nodes_with_quarantined(3) == fleet.nodes.size());
   fleet.advance(16s);
-  CHECK(max_late_retries(fleet) <= kMaxLateRetries);
+  CHECK(max_late_sends(fleet) <= kMaxLateSends);
   CHECK(share_served(fleet.ordinary_requests) > 0.9);
 }
 
@@ -261,18 +261,18 @@
     });
   }
   fleet.advance(50s);
-  CHECK(max_late_retries(fleet) <= kMaxLateRetries);
+  CHECK(max_late_sends(fleet) <= kMaxLateSends);
   CHECK(fleet.nodes_with_quarantined(3) == fleet.nodes.size());
 }
 
 TEST_CASE("crashing requests are stopped during an outage of the store and kills of nodes") {
   for (std::uint64_t seed = 100; seed != 112; ++seed) {
     CrashFleet fleet({.nodes = 4 + seed % 5, .loss = 0.02, .seed = seed});
-    const MonotonicTime store_back = run_outage_and_kills(fleet, seed);
+    const MonotonicTime outage_end = run_outage_and_kills(fleet, seed);
     CAPTURE(seed);
     for (const std::string& body : fleet.crashing_bodies) {
       CAPTURE(body);
-      CHECK(fleet.late_retries(body, store_back) <= kMaxLateRetries);
+      CHECK(fleet.count_late_sends(body, outage_end) <= kMaxLateSends);
     }
   }
 }
@@ -290,8 +290,8 @@
     send_crashing_requests(fleet, 2, 30s);
     fleet.advance(35s);
     MESSAGE("crashes " << fleet.crashes["guilty-0"].size() << " and "
-                       << fleet.crashes["guilty-1"].size() << ", late retries "
-                       << max_late_retries(fleet));
-    CHECK(max_late_retries(fleet) <= kMaxLateRetries);
+                       << fleet.crashes["guilty-1"].size() << ", late sends "
+                       << max_late_sends(fleet));
+    CHECK(max_late_sends(fleet) <= kMaxLateSends);
   }
 }
--- a/src/gateway_node/tests/forgotten_request_test.cc
+++ b/src/gateway_node/tests/forgotten_request_test.cc
@@ -15,8 +15,8 @@
 
 namespace {
 
-/// Retries allowed after a request's third crash, as sent by connected nodes.
-constexpr std::size_t kMaxLateRetries = 3;
+/// Requests allowed after a request's third crash, as counted by count_late_sends().
+constexpr std::size_t kMaxLateSends = 3;
 
 }  // namespace
 
@@ -25,11 +25,11 @@
     CAPTURE(seed);
     CrashFleet fleet({.nodes = 4 + seed % 5, .loss = 0.02, .seed = seed});
     fleet.crashing_bodies.insert("guilty");
-    MonotonicTime store_back{};
+    MonotonicTime outage_end{};
     fleet.time.schedule_after(2s, [&] { fleet.state.down = true; });
     fleet.time.schedule_after(22s, [&] {
       fleet.state.down = false;
-      store_back = fleet.time.now();
+      outage_end = fleet.time.now();
     });
     // Usually causes two crashes before the kill, so that no node knows that the next is the third.
     fleet.send_repeatedly("/once/x", "guilty", 700ms, 1s);
@@ -42,6 +42,6 @@
     });
     fleet.time.schedule_after(30s, [&] { fleet.send_repeatedly("/once/x", "guilty", 400ms, 20s); });
     fleet.advance(60s);
-    CHECK(fleet.late_retries("guilty", store_back) <= kMaxLateRetries);
+    CHECK(fleet.count_late_sends("guilty", outage_end) <= kMaxLateSends);
   }
 }
--- a/src/gateway_node/tests/held_http2_requests_test.cc
+++ b/src/gateway_node/tests/held_http2_requests_test.cc
@@ -10,11 +10,11 @@
 
 namespace {
 
-void await_at_backend(StoppingNode& fixture) {
+void await_at_backend(NodeFixture& fixture) {
   REQUIRE(fixture.run_until([&] { return fixture.backend.held.size() == 1; }));
 }
 
-void check_answered(StoppingNode& fixture, Http2Caller& caller) {
+void check_answered(NodeFixture& fixture, Http2Caller& caller) {
   CHECK_FALSE(fixture.stopped());
   fixture.backend.answer("done");
   CHECK(fixture.run_until([&] { return caller.receive().complete; }));
@@ -30,7 +30,7 @@
 TEST_CASE(
     "HTTP/2: a request that waits for a configuration is answered when the store does not "
     "respond") {
-  StoppingNode fixture;
+  NodeFixture fixture;
   fixture.node.stop();
   fixture.store.silent = true;
   fixture.advance(2300ms);
@@ -44,7 +44,7 @@
 }
 
 TEST_CASE("HTTP/2: a request received in part before the stop is served") {
-  StoppingNode fixture;
+  NodeFixture fixture;
   Http2Caller caller(fixture.address());
   caller.send("POST", "/short/1", "0123");
   fixture.settle();
@@ -57,7 +57,7 @@
 }
 
 TEST_CASE("HTTP/2: a request running at a back end is served, also when settings are reloaded") {
-  StoppingNode fixture;
+  NodeFixture fixture;
   Http2Caller caller(fixture.address());
   caller.send("GET", "/long/1");
   await_at_backend(fixture);
@@ -70,7 +70,7 @@
 
 TEST_CASE(
     "HTTP/2: a request whose connection is not accepted yet when the listener closes is served") {
-  StoppingNode fixture;
+  NodeFixture fixture;
   fixture.node.stop();
   fixture.advance(3480ms);
   Http2Caller caller(fixture.address());
@@ -81,7 +81,7 @@
 }
 
 TEST_CASE("HTTP/2: an answer that its caller reads slowly is sent completely") {
-  StoppingNode fixture;
+  NodeFixture fixture;
   Http2Caller caller(fixture.address());
   caller.send("GET", "/long/1");
   await_at_backend(fixture);
@@ -98,7 +98,7 @@
 }
 
 TEST_CASE("HTTP/2: a request that outlasts the grace period is answered, not cut off") {
-  StoppingNode fixture;
+  NodeFixture fixture;
   Http2Caller caller(fixture.address());
   caller.send("GET", "/long/1");
   await_at_backend(fixture);
@@ -112,7 +112,7 @@
 }
 
 TEST_CASE("HTTP/2: a request that may outlast the grace period is rejected in time") {
-  StoppingNode fixture;
+  NodeFixture fixture;
   fixture.node.stop();
   fixture.advance(3000ms);
   Http2Caller late(fixture.address());
--- a/src/gateway_node/tests/held_requests_test.cc
+++ b/src/gateway_node/tests/held_requests_test.cc
@@ -1,8 +1,8 @@
 // Requests that a planned stop must wait for. Guards against a node that counts only the gateway's
 // sessions as running and exits while it still holds a request: one that waits for a newer
 // configuration (its route is unknown and the store does not respond), one received in part, or an
-// answer sent in part. The caller then gets no answer; one connection closed 8 ms after its node
-// had logged that it stopped with 0 running requests. Each case covers another place where a
+// answer sent in part. The caller then gets no answer; a connection was closed 8 ms after its
+// node had logged that it stopped with 0 running requests. Each case covers another place where a
 // request can be held, from its first byte received to the last byte of its answer.
 #include <doctest/doctest.h>
 
@@ -23,12 +23,12 @@
 const std::string kWithBody =
     "POST /short/1 HTTP/1.1\r\nHost: h\r\nX-Request-Id: r1\r\nContent-Length: 8\r\n\r\n01234567";
 
-void await_at_backend(StoppingNode& fixture) {
+void await_at_backend(NodeFixture& fixture) {
   REQUIRE(fixture.run_until([&] { return fixture.backend.held.size() == 1; }));
 }
 
 /// Checks that the caller receives the back end's answer before the node exits.
-void check_answered(StoppingNode& fixture, RawCaller& caller) {
+void check_answered(NodeFixture& fixture, RawCaller& caller) {
   CHECK_FALSE(fixture.stopped());
   fixture.backend.answer("done");
   CHECK(fixture.run_until([&] { return caller.receive().ends_with("done"); }));
@@ -39,7 +39,7 @@
 }  // namespace
 
 TEST_CASE("an idle node exits soon after callers have had time to notice the stop") {
-  StoppingNode fixture;
+  NodeFixture fixture;
   fixture.node.stop();
   fixture.advance(3400ms);
   CHECK_FALSE(fixture.stopped());
@@ -49,7 +49,7 @@
 
 TEST_CASE("a request that waits for a configuration is answered when the store does not respond") {
   for (const Duration at : {2300ms, 3480ms}) {
-    StoppingNode fixture;
+    NodeFixture fixture;
     fixture.node.stop();
     fixture.store.silent = true;
     fixture.advance(at);
@@ -64,7 +64,7 @@
 
 TEST_CASE("a request received in part before the stop is served") {
   for (const std::string& request : {kShort, kWithBody}) {
-    StoppingNode fixture;
+    NodeFixture fixture;
     RawCaller caller(fixture.address());
     caller.send(request.substr(0, request.size() - 2));
     fixture.settle();
@@ -78,7 +78,7 @@
 }
 
 TEST_CASE("a request running at a back end is served, also when settings are reloaded") {
-  StoppingNode fixture;
+  NodeFixture fixture;
   RawCaller caller(fixture.address());
   caller.send(kLong);
   await_at_backend(fixture);
@@ -90,7 +90,7 @@
 }
 
 TEST_CASE("a request whose connection is not accepted yet when the listener closes is served") {
-  StoppingNode fixture;
+  NodeFixture fixture;
   fixture.node.stop();
   fixture.advance(3480ms);
   RawCaller caller(fixture.address());
@@ -101,7 +101,7 @@
 }
 
 TEST_CASE("an answer that its caller reads slowly is sent completely") {
-  StoppingNode fixture;
+  NodeFixture fixture;
   RawCaller caller(fixture.address());
   caller.send(kLong);
   await_at_backend(fixture);
@@ -117,7 +117,7 @@
 }
 
 TEST_CASE("a request that outlasts the grace period is answered, not cut off") {
-  StoppingNode fixture;
+  NodeFixture fixture;
   RawCaller caller(fixture.address());
   caller.send(kLong);
   await_at_backend(fixture);
@@ -130,10 +130,11 @@
 }
 
 // Callers rely on an answer to requests that they send later than 3 s after a stop signal. A
-// request with a timeout of 20 s that came 3.2 s after it was accepted and cut off 4.3 s later.
+// request with a timeout of 20 s, received 3.2 s after the signal, was accepted and cut off 4.3 s
+// later.
 TEST_CASE(
     "a request that may outlast the grace period is rejected before callers rely on its answer") {
-  StoppingNode fixture;
+  NodeFixture fixture;
   fixture.node.stop();
   fixture.advance(2000ms);
   RawCaller early(fixture.address());
@@ -149,7 +150,7 @@
 
 TEST_CASE(
     "with a grace period shorter than callers need to notice, long requests are rejected in time") {
-  StoppingNode fixture;
+  NodeFixture fixture;
   Settings settings = fixture.settings();
   settings.stop_grace = 3s;
   fixture.node.reload(settings);
@@ -165,30 +166,30 @@
 
 TEST_CASE(
     "a queued request is sent when its back end has a free slot, and rejected at once by a stop") {
-  StoppingNode fixture;
+  NodeFixture fixture;
   Settings queueing = fixture.settings();
   queueing.queue.requests = 10;
   fixture.node.reload(queueing);
   // The slots of the back end plus half as many.
-  constexpr std::size_t kRoom = 8 + 4;
+  constexpr std::size_t kMaxRequestsAtBackend = 8 + 4;
   std::vector<std::unique_ptr<RawCaller>> callers;
-  const auto ask = [&] {
+  const auto send_request = [&] {
     callers.push_back(std::make_unique<RawCaller>(fixture.address()));
     callers.back()->send(kShort);
     fixture.settle();
   };
-  for (std::size_t i = 0; i != kRoom + 1; ++i) {
-    ask();
+  for (std::size_t i = 0; i != kMaxRequestsAtBackend + 1; ++i) {
+    send_request();
   }
-  CHECK(fixture.backend.held.size() == kRoom);
+  CHECK(fixture.backend.held.size() == kMaxRequestsAtBackend);
   CHECK(callers.back()->receive().empty());
   fixture.backend.answer("done");
-  CHECK(fixture.run_until([&] { return fixture.backend.held.size() == kRoom; }));
-  ask();
-  CHECK(fixture.backend.held.size() == kRoom);
+  CHECK(fixture.run_until([&] { return fixture.backend.held.size() == kMaxRequestsAtBackend; }));
+  send_request();
+  CHECK(fixture.backend.held.size() == kMaxRequestsAtBackend);
   fixture.node.stop();
   fixture.settle();
   CHECK(callers.back()->receive().starts_with("HTTP/1.1 503"));
   CHECK(callers.back()->receive().find("stopping") != std::string::npos);
-  CHECK(fixture.backend.held.size() == kRoom);
+  CHECK(fixture.backend.held.size() == kMaxRequestsAtBackend);
 }
--- a/src/gateway_node/tests/large_fleet.h
+++ b/src/gateway_node/tests/large_fleet.h
@@ -50,15 +50,15 @@
 };
 
 /// Contents and history of the shared store, and counts of the calls to it.
-struct StoreState {
+struct FakeStoreState {
   void put(const std::string& key, std::optional<std::string> value) {
     ++revision;
-    items[key] = {key, std::move(value), now()};
+    items[key] = {key, std::move(value), current_revision()};
     history.push_back(items[key]);
   }
   /// Drops the history of changes, as a store does that compacts it.
   void discard_history() {
-    discarded_through = now();
+    discarded_through = current_revision();
     history.clear();
     std::erase_if(items, [](const auto& item) { return !item.second.value; });
   }
@@ -79,11 +79,13 @@
     }
     discard_history();
   }
-  shared_store::StoreRevision now() const { return shared_store::StoreRevision(revision, era); }
+  shared_store::StoreRevision current_revision() const {
+    return shared_store::StoreRevision(revision, era);
+  }
   /// Whether the changes after a revision are available: not discarded, and the revision not in the
   /// future.
   bool has_changes_after(shared_store::StoreRevision after) const {
-    return after >= discarded_through && after <= now();
+    return after >= discarded_through && after <= current_revision();
   }
 
   /// The changes after a revision, in the order of writing.
@@ -96,7 +98,7 @@
   }
 
   shared_store::StoreEra era;
-  bool names_era = true;  ///< In its answers. Otherwise each node infers the era.
+  bool names_era = true;  ///< Whether answers carry the era. If not, each node infers it.
   std::uint64_t revision = 0;
   std::map<std::string, shared_store::Change> items;  ///< Without a value: deleted.
   std::vector<shared_store::Change> history;          ///< Ordered by revision.
@@ -109,7 +111,7 @@
 /// The connection of one node to the store.
 class NodeStoreClient final : public shared_store::SharedStore {
  public:
-  NodeStoreClient(simulation::VirtualTime& time, StoreState& state, const bool& cut_off,
+  NodeStoreClient(simulation::VirtualTime& time, FakeStoreState& state, const bool& cut_off,
                   const bool& rejected_by_store, std::uint32_t link_mbps)
       : time_(time),
         state_(state),
@@ -125,7 +127,7 @@
                  shared_store::StoreCallback<shared_store::ListPage> done) override {
     answer<shared_store::ListPage>(std::move(done), [this, request] {
       shared_store::ListPage page;
-      page.revision = state_.now();
+      page.revision = state_.current_revision();
       for (auto item = state_.items.upper_bound(request.after); item != state_.items.end();
            ++item) {
         if (!item->second.value || !item->first.starts_with(request.prefix)) {
@@ -173,12 +175,13 @@
   static constexpr Duration kAnswerTime{4ms};
   static constexpr Duration kTimeout{1s};
 
-  /// Answers a call after `kAnswerTime`. `is_discarded` tells, at the time of the answer, whether
-  /// the requested history is unavailable. `after` is the start of the requested changes, if any.
+  /// Answers a call after `kAnswerTime`. `history_unavailable` tells, at the time of the answer,
+  /// whether the requested history is unavailable. `after` is the start of the requested changes,
+  /// if any.
   template <class T>
   void answer(
       shared_store::StoreCallback<T> done, std::function<T()> make,
-      std::function<bool()> is_discarded = [] { return false; },
+      std::function<bool()> history_unavailable = [] { return false; },
       std::optional<Revision> after = {}) {
     if (cut_off_) {
       time_.schedule_after(
@@ -189,15 +192,15 @@
       eras_.observe_revision(*after);
     }
     time_.schedule_after(
-        kAnswerTime, [this, done, make, is_discarded, after, sent = eras_.on_send()] {
+        kAnswerTime, [this, done, make, history_unavailable, after, sent = eras_.on_send()] {
           if (state_.down || rejected_by_store_) {
             ++state_.refused;
-            done(fail(shared_store::StoreErrc::kNotDone, "down"));
+            done(fail(shared_store::StoreErrc::kNotDone, "store unavailable"));
             return;
           }
           ++state_.reads;
-          if (is_discarded()) {
-            done(fail(shared_store::StoreErrc::kHistoryUnavailable, "gone"));
+          if (history_unavailable()) {
+            done(fail(shared_store::StoreErrc::kHistoryUnavailable, "history unavailable"));
             return;
           }
           T answer = make();
@@ -207,10 +210,10 @@
               done(fail(shared_store::StoreErrc::kHistoryUnavailable, "another era"));
               return;
             }
-            name_era(answer, era);
+            set_era(answer, era);
           }
           const Duration transfer =
-              from_seconds(items_of(answer) * kItemBytes * 8 / (1e6 * link_mbps_));
+              from_seconds(item_count(answer) * kItemBytes * 8 / (1e6 * link_mbps_));
           time_.schedule_after(
               transfer, [done, answer = std::move(answer)]() mutable { done(std::move(answer)); });
         });
@@ -227,34 +230,34 @@
   static std::optional<std::uint64_t> revision_of(const T& /*answer*/) {
     return std::nullopt;
   }
-  static void name_era(shared_store::Change& change, shared_store::StoreEra era) {
+  static void set_era(shared_store::Change& change, shared_store::StoreEra era) {
     change.revision = Revision(change.revision.value(), era);
   }
-  static void name_era(shared_store::Listing& /*listing*/, shared_store::StoreEra /*era*/) {}
-  static void name_era(shared_store::ListPage& page, shared_store::StoreEra era) {
+  static void set_era(shared_store::Listing& /*listing*/, shared_store::StoreEra /*era*/) {}
+  static void set_era(shared_store::ListPage& page, shared_store::StoreEra era) {
     page.revision = Revision(page.revision.value(), era);
     for (shared_store::Change& item : page.items) {
-      name_era(item, era);
+      set_era(item, era);
     }
   }
-  static void name_era(shared_store::Changes& changes, shared_store::StoreEra era) {
+  static void set_era(shared_store::Changes& changes, shared_store::StoreEra era) {
     for (shared_store::Change& change : changes.changes) {
-      name_era(change, era);
+      set_era(change, era);
     }
   }
-  static double items_of(const shared_store::Listing& listing) {
+  static double item_count(const shared_store::Listing& listing) {
     return static_cast<double>(listing.items.size());
   }
-  static double items_of(const shared_store::ListPage& page) {
+  static double item_count(const shared_store::ListPage& page) {
     return static_cast<double>(page.items.size());
   }
-  static double items_of(const shared_store::Changes& changes) {
+  static double item_count(const shared_store::Changes& changes) {
     return static_cast<double>(changes.changes.size());
   }
-  static double items_of(const shared_store::Change&) { return 1; }
+  static double item_count(const shared_store::Change&) { return 1; }
 
   simulation::VirtualTime& time_;
-  StoreState& state_;
+  FakeStoreState& state_;
   const bool& cut_off_;
   const bool& rejected_by_store_;
   std::uint32_t link_mbps_;
@@ -272,7 +275,8 @@
   void leave() {
     leaving = true;
     nodes.leave();
-    // Once a process runs under the same name, late notices must not name its registration.
+    // After a restart under the same name, notices of the old process must not carry the revision
+    // of the new registration.
     news.tell_leaving([this, known = registered] {
       return leaving ? std::max(known, nodes.own_registration_revision()) : known;
     });
@@ -285,15 +289,14 @@
   discovery::NodeRecord record;
   shared_store::StoreRevision registered;  ///< Of its last registration.
   discovery::NodeDirectory nodes;
-  gateway::FleetState fleet;
+  gateway::FleetState view;
   gateway::LoadTable loads;
   NodeStoreClient store;
   discovery::FleetWatcher watcher;
   PeerNews news;
 };
 
-/// Nodes in five zones that share a store, to which heartbeats of back ends are written all the
-/// time.
+/// Nodes in five zones that share a store, to which back ends write one heartbeat every 15 ms.
 class LargeFleet {
  public:
   static constexpr int kEngines = 80;
@@ -343,12 +346,12 @@
   void register_node(FleetNode& node) {
     node.leaving = false;
     state.put("nodes/" + node.record.node.value(), wire::encode(node.record));
-    node.registered = state.now();
+    node.registered = state.current_revision();
   }
   void advance(Duration span) { time.run_until(time.now() + span); }
   void deliver_datagram(const FleetNode& from, const Endpoint& to, std::string_view bytes) {
     ++datagrams;
-    if (random.chance(loss_) || from.cut_off || !fits_link(from, bytes.size())) {
+    if (random.chance(loss_) || from.cut_off || !enqueue_on_link(from, bytes.size())) {
       return;
     }
     time.schedule_after(from_seconds(0.001 + 0.001 * random.unit()),
@@ -388,13 +391,13 @@
   }
   std::size_t count_with_version(std::uint64_t version) const {
     return count([&](const FleetNode& node) {
-      return node.fleet.routes() && node.fleet.routes()->configuration().version.value() == version;
+      return node.view.routes() && node.view.routes()->configuration().version.value() == version;
     });
   }
 
   simulation::VirtualTime time;
   SeededRandom random{17};
-  StoreState state;
+  FakeStoreState state;
   EngineCodec codec;
   logging::NullLogger logger;
   bool heartbeats_enabled = true;  ///< Of the back ends.
@@ -404,8 +407,8 @@
   std::vector<std::unique_ptr<FleetNode>> nodes;
 
  private:
-  /// Whether the queue of the sender's link still accepts a datagram; adds it if so.
-  bool fits_link(const FleetNode& from, std::size_t bytes) {
+  /// Adds a datagram to the queue of the sender's link; returns false if the queue is full.
+  bool enqueue_on_link(const FleetNode& from, std::size_t bytes) {
     constexpr Duration kMaxQueueDelay = 15ms;
     MonotonicTime& free_at = link_free_at_[&from];
     free_at = std::max(free_at, time.now());
@@ -453,7 +456,7 @@
   return settings;
 }
 
-inline FleetNode::FleetNode(LargeFleet& large, int number, const std::string& zone)
+inline FleetNode::FleetNode(LargeFleet& fleet, int number, const std::string& zone)
     : random(static_cast<std::uint64_t>(number) + 1),
       record{NodeId("n" + std::to_string(number)),
              Endpoint("front"),
@@ -461,26 +464,26 @@
              Endpoint("n" + std::to_string(number)),
              number % 13 == 0 ? 200U : 20U,
              Endpoint("n" + std::to_string(number))},
-      nodes(large.time, record),
-      store(large.time, large.state, cut_off, rejected_by_store, record.link_mbps),
-      watcher({large.time, large.time, random, store, large.codec, large.logger},
-              settings_for_node(number), fleet, nodes),
+      nodes(fleet.time, record),
+      store(fleet.time, fleet.state, cut_off, rejected_by_store, record.link_mbps),
+      watcher({fleet.time, fleet.time, random, store, fleet.codec, fleet.logger},
+              settings_for_node(number), view, nodes),
       news(
-          {large.time, large.time, random, fleet, loads, nodes, watcher},
+          {fleet.time, fleet.time, random, view, loads, nodes, watcher},
           {.peer_address = record.peer_address,
            .view_address = record.peer_address,
            .relays = {.min_nodes = 48},
            .relay_gather = 10ms},
-          [this, &large](const Endpoint& to, std::string_view bytes) {
-            large.deliver_datagram(*this, to, bytes);
+          [this, &fleet](const Endpoint& to, std::string_view bytes) {
+            fleet.deliver_datagram(*this, to, bytes);
           },
           [](const Endpoint&) {}) {
-  large.register_address(*this);
-  watcher.on_fetch_needed([this, &large](const auto& request, auto done) {
-    large.fetch_view(*this, request, std::move(done));
+  fleet.register_address(*this);
+  watcher.on_fetch_needed([this, &fleet](const auto& request, auto done) {
+    fleet.fetch_view(*this, request, std::move(done));
   });
   watcher.on_view_needed(
-      [this, &large](auto done) { large.fetch_from_any(*this, std::move(done)); });
+      [this, &fleet](auto done) { fleet.fetch_from_any(*this, std::move(done)); });
   watcher.on_reading_assignment([this] { return news.channel().reading_duty(); });
   watcher.on_store_state([this](bool reachable) { news.on_store_state(reachable); });
 }
--- a/src/gateway_node/tests/large_fleet_test.cc
+++ b/src/gateway_node/tests/large_fleet_test.cc
@@ -65,7 +65,7 @@
   const std::uint64_t reads = reads_during(fleet, 3400ms);
   CHECK(reads < 20);
   CHECK(fleet.count([](const FleetNode& node) {
-    return !node.cut_off && node.fleet.find(gateway::BackendId("e7"))->draining;
+    return !node.cut_off && node.view.find(gateway::BackendId("e7"))->draining;
   }) == kNodes - 60);
 }
 
@@ -79,7 +79,7 @@
   const std::uint64_t reads = reads_during(fleet, 3400ms);
   CHECK(reads < 60 + 20);
   CHECK(fleet.count([](const FleetNode& node) {
-    return node.fleet.find(gateway::BackendId("e7"))->draining;
+    return node.view.find(gateway::BackendId("e7"))->draining;
   }) == kNodes);
 }
 
@@ -99,7 +99,7 @@
   const std::uint64_t reads = reads_during(fleet, 3s);
   CHECK(fleet.count_with_version(2) == kNodes);
   CHECK(fleet.count([](const FleetNode& node) {
-    return node.fleet.find(gateway::BackendId("e3")) == nullptr;
+    return node.view.find(gateway::BackendId("e3")) == nullptr;
   }) == kNodes);
   CHECK(reads < kNodes / 2);
 }
@@ -190,9 +190,9 @@
   for (std::size_t size = 0; size <= whole.size(); ++size) {
     node.news.receive(whole.substr(0, size));
   }
-  CHECK(node.fleet.find(gateway::BackendId("e1")) != nullptr);
+  CHECK(node.view.find(gateway::BackendId("e1")) != nullptr);
   fleet.advance(4s);
-  CHECK(node.fleet.backends().size() == LargeFleet::kEngines);
+  CHECK(node.view.backends().size() == LargeFleet::kEngines);
 }
 
 namespace {
@@ -208,9 +208,9 @@
 
 std::size_t count_missing_changes(const LargeFleet& fleet) {
   return fleet.count([](const FleetNode& node) {
-    const gateway::Backend* draining = node.fleet.find(gateway::BackendId("e7"));
+    const gateway::Backend* draining = node.view.find(gateway::BackendId("e7"));
     return draining == nullptr || !draining->draining ||
-           node.fleet.find(gateway::BackendId("e9")) != nullptr;
+           node.view.find(gateway::BackendId("e9")) != nullptr;
   });
 }
 
@@ -274,7 +274,7 @@
   const std::uint64_t reads = fleet.state.reads;
   fleet.restart();
   CHECK(fleet.count([](const FleetNode& node) {
-    return node.fleet.routes() != nullptr && node.fleet.backends().size() == 3000 &&
+    return node.view.routes() != nullptr && node.view.backends().size() == 3000 &&
            node.nodes.count() == kNodes;
   }) == kNodes);
   // A first page and one of nodes for each; a full listing by each node would take 3,315 reads.
--- a/src/gateway_node/tests/lost_memory_test.cc
+++ b/src/gateway_node/tests/lost_memory_test.cc
@@ -1,4 +1,5 @@
-// When nodes know that crashes may have been forgotten, and when their knowledge is complete again.
+// Tests how nodes detect that their crash records may be incomplete, and when these are complete
+// again.
 #include <doctest/doctest.h>
 
 #include <string>
@@ -12,12 +13,12 @@
 
 namespace {
 
-constexpr Duration kComplete = quarantine::CrashLedgerOptions().suspicion_ttl;
+constexpr Duration kCompleteHorizonAge = quarantine::CrashLedgerOptions().suspicion_ttl;
 
 std::size_t count_complete(const CrashFleet& fleet) {
-  return static_cast<std::size_t>(
-      std::count_if(fleet.nodes.begin(), fleet.nodes.end(),
-                    [](const auto& node) { return node->quarantine.horizon().age >= kComplete; }));
+  return static_cast<std::size_t>(std::count_if(
+      fleet.nodes.begin(), fleet.nodes.end(),
+      [](const auto& node) { return node->quarantine.horizon().age >= kCompleteHorizonAge; }));
 }
 
 void restart_all(CrashFleet& fleet) {
@@ -45,12 +46,12 @@
     fleet.state.down = false;
     fleet.advance(20s);
     CHECK(count_complete(fleet) == 0);
-    fleet.advance(kComplete);
+    fleet.advance(kCompleteHorizonAge);
     CHECK(count_complete(fleet) == fleet.nodes.size());
   }
 }
 
-TEST_CASE("nodes replaced one by one pass on known crashes and the period these cover") {
+TEST_CASE("nodes replaced one by one pass on known crashes and their horizon") {
   CrashFleet fleet({.loss = 0.02});
   fleet.crashing_bodies = {"guilty"};
   fleet.state.down = true;
--- a/src/gateway_node/tests/node_duties_test.cc
+++ b/src/gateway_node/tests/node_duties_test.cc
@@ -83,7 +83,7 @@
       }
     });
   }
-  bool is_first(std::size_t node) const {
+  bool is_first_alive(std::size_t node) const {
     for (std::size_t i = 0; i != node; ++i) {
       if (alive[i]) {
         return false;
@@ -134,7 +134,7 @@
           {.key_prefix = "duties/",
            .node = NodeId("n" + std::to_string(number)),
            .usage_windows = kWindows},
-          {.fitness = {.to_claim = [&fleet, number] { return fleet.is_first(number); },
+          {.fitness = {.to_claim = [&fleet, number] { return fleet.is_first_alive(number); },
                        .to_hold = [number] { return number < DutyFleet::kRelays; }},
            .tell = [&fleet](const usage::UsageReport& report) { fleet.broadcast_usage(report); }}) {
 }
--- a/src/gateway_node/tests/older_copy_test.cc
+++ b/src/gateway_node/tests/older_copy_test.cc
@@ -15,10 +15,11 @@
 
 namespace {
 
-/// Longest time until all nodes know a change while the store answers, of a staleness bound of 4 s.
+/// Maximum time for a change to reach all nodes while the store is available, as part of the
+/// staleness bound of 4 s.
 constexpr Duration kPropagationBound = 3400ms;
 
-void restore_store(LargeFleet& fleet, const StoreState::Copy& copy) {
+void restore_store(LargeFleet& fleet, const FakeStoreState::Copy& copy) {
   fleet.state.down = true;
   fleet.advance(2s);
   fleet.state.roll_back_to(copy);
@@ -29,7 +30,7 @@
 std::size_t count_routing_to(LargeFleet& fleet, const std::string& backend) {
   const std::set<gateway::BackendId> none;
   return fleet.count([&](FleetNode& node) {
-    const gateway::CandidateFinder finder(node.fleet, node.loads, node.random);
+    const gateway::CandidateFinder finder(node.view, node.loads, node.random);
     const auto found =
         finder.find({.service = {}, .prompt = nullptr, .avoid = &none}, false, fleet.time.now());
     return std::any_of(found.backends.begin(), found.backends.end(),
@@ -44,7 +45,7 @@
 TEST_CASE("a back end that left without a notice is not used when an older copy lists it") {
   LargeFleet fleet(6, 0.0);
   fleet.start();
-  const StoreState::Copy copy = fleet.state.copy();
+  const FakeStoreState::Copy copy = fleet.state.copy();
   fleet.state.put("backends/e7", std::nullopt);
   fleet.advance(kPropagationBound);
   REQUIRE(count_routing_to(fleet, "e7") == 0);
@@ -58,7 +59,7 @@
 TEST_CASE("a back end still listed after the platform would have deleted it is used again") {
   LargeFleet fleet(6, 0.0);
   fleet.start();
-  const StoreState::Copy copy = fleet.state.copy();
+  const FakeStoreState::Copy copy = fleet.state.copy();
   fleet.state.put("backends/e7", std::nullopt);
   fleet.advance(kPropagationBound);
   restore_store(fleet, copy);
@@ -85,7 +86,7 @@
     "back ends whose entries were all deleted are used as soon as the restored store lists them") {
   LargeFleet fleet(6, 0.0, 12);
   fleet.start();
-  const StoreState::Copy copy = fleet.state.copy();
+  const FakeStoreState::Copy copy = fleet.state.copy();
   fleet.heartbeats_enabled = false;
   for (int i = 0; i != 12; ++i) {
     fleet.state.put("backends/e" + std::to_string(i), std::nullopt);
@@ -101,7 +102,7 @@
 TEST_CASE("a configuration of a newer era is applied even under the version of a lost one") {
   LargeFleet fleet(6, 0.0);
   fleet.start();
-  const StoreState::Copy copy = fleet.state.copy();
+  const FakeStoreState::Copy copy = fleet.state.copy();
   fleet.state.put("config", "2 lost");
   fleet.advance(kPropagationBound);
   REQUIRE(fleet.count_with_version(2) == fleet.nodes.size());
@@ -116,7 +117,7 @@
 TEST_CASE("a configuration of the previous era does not prevail over one of the same version") {
   LargeFleet fleet(6, 0.0);
   fleet.start();
-  const StoreState::Copy copy = fleet.state.copy();
+  const FakeStoreState::Copy copy = fleet.state.copy();
   fleet.state.put("config", "2 lost");
   fleet.advance(kPropagationBound);
   FleetNode& away = *fleet.nodes[4];
@@ -139,7 +140,7 @@
     CAPTURE(nodes);
     LargeFleet fleet(nodes);
     fleet.start();
-    const StoreState::Copy copy = fleet.state.copy();
+    const FakeStoreState::Copy copy = fleet.state.copy();
     fleet.state.put("backends/new", "ready");
     fleet.advance(kPropagationBound);
     fleet.state.down = true;
@@ -176,7 +177,7 @@
       CAPTURE(to_seconds(outage));
       LargeFleet fleet(nodes);
       fleet.start();
-      const StoreState::Copy copy = fleet.state.copy();
+      const FakeStoreState::Copy copy = fleet.state.copy();
       fleet.state.put("backends/new", "ready");
       fleet.advance(kPropagationBound);
       fleet.state.down = true;
--- a/src/gateway_node/tests/outage_and_kills.h
+++ b/src/gateway_node/tests/outage_and_kills.h
@@ -15,10 +15,11 @@
 inline constexpr const char* kCrashingPaths[] = {"/resumable/x", "/stream/x", "/idempotent/x",
                                                  "/once/x"};
 
-/// Callers start at random times, the store is unavailable for 10 s, and nodes are killed: single
-/// ones at any time, all at once only while the store answers. A fleet that is killed as a whole
-/// during the outage loses the crashes that it could not write yet; that case is left out. Returns
-/// the end of the outage.
+/// Runs ordinary requests for 60 s and up to four crashing requests, each from a random time in the
+/// first 20 s on. The store is unavailable for 10 s, and nodes are killed six times in the first
+/// 50 s: a single node, or all nodes at once if the store is available then. A fleet that is killed
+/// as a whole during the outage loses the crashes that it could not write yet; that case is left
+/// out. Returns the end of the outage.
 inline MonotonicTime run_outage_and_kills(CrashFleet& fleet, std::uint64_t seed) {
   SeededRandom random(seed);
   const auto at_random = [&](Duration latest, std::function<void()> action) {
@@ -33,12 +34,12 @@
     at_random(20s, [&fleet, body, path, pause] { fleet.send_repeatedly(path, body, pause, 40s); });
   }
   fleet.send_traffic(10, 60s);
-  MonotonicTime store_back{};
+  MonotonicTime outage_end{};
   at_random(20s, [&] {
     fleet.state.down = true;
     fleet.time.schedule_after(10s, [&] {
       fleet.state.down = false;
-      store_back = fleet.time.now();
+      outage_end = fleet.time.now();
     });
   });
   for (int kill = 0; kill != 6; ++kill) {
@@ -53,7 +54,7 @@
     });
   }
   fleet.advance(75s);
-  return store_back;
+  return outage_end;
 }
 
 }  // namespace ochrespring::gateway_node::testing
--- a/src/gateway_node/tests/peer_channel_test.cc
+++ b/src/gateway_node/tests/peer_channel_test.cc
@@ -250,7 +250,7 @@
   }
 }
 
-// A node that the relays miss would take slow engines for normal ones.
+// A node that receives no profiles treats slow engines as normal.
 TEST_CASE("engine profiles reach every other node, with and without relays") {
   for (const std::uint32_t relay_min_nodes : {11U, 10U}) {
     ChannelFleet fleet(relay_min_nodes);
@@ -270,10 +270,10 @@
 TEST_CASE("a leaving notice that was delayed by a suspension of the node is ignored") {
   simulation::VirtualTime time;
   ChannelNode node(time, "a1", "a", 48, [](const Endpoint&, std::string_view) {});
-  const std::string word =
+  const std::string notice =
       wire::encode(PeerMessage(NodeLeaving{NodeId("b1"), shared_store::StoreRevision(74)}));
-  node.channel.receive(word, std::chrono::seconds(6));
+  node.channel.receive(notice, std::chrono::seconds(6));
   CHECK(node.leaving_notices == 0);
-  node.channel.receive(word, std::chrono::milliseconds(5));
+  node.channel.receive(notice, std::chrono::milliseconds(5));
   CHECK(node.leaving_notices == 1);
 }
--- a/src/gateway_node/tests/planned_stop_test.cc
+++ b/src/gateway_node/tests/planned_stop_test.cc
@@ -1,7 +1,7 @@
 // Guards against requests lost at a planned stop during an outage of the store. The node cannot
 // delete its registration, so the other nodes keep directing callers to it until its grace period
-// ends and the last requests are cut off. It was seen 7.4 s after the stop signal, 0.2 s after an
-// outage of 4.5 s.
+// ends and the last requests are cut off. Requests were cut off 7.4 s after the stop signal,
+// 0.2 s after an outage of 4.5 s ended.
 #include <doctest/doctest.h>
 
 #include <algorithm>
--- a/src/gateway_node/tests/profile_news_test.cc
+++ b/src/gateway_node/tests/profile_news_test.cc
@@ -25,19 +25,19 @@
 
 /// Engine profiles of one node, wired as in GatewayNode.
 struct Profiles {
-  Profiles(LargeFleet& large, FleetNode& node)
+  Profiles(LargeFleet& fleet, FleetNode& node)
       : node_(node),
-        table(node.fleet, large.logger),
-        exchange({large.time, large.time, node.random, table}, node.record.node,
+        table(node.view, fleet.logger),
+        exchange({fleet.time, fleet.time, node.random, table}, node.record.node,
                  {.broadcast = [&node](const auto& report) { node.news.tell_profiles(report); },
                   .send_to_zone =
                       [&node](const auto& reports) { node.news.tell_zone_profiles(reports); }}) {
-    gateway::Service service{.name = node.fleet.find(engine_id(0))->service};
+    gateway::Service service{.name = node.view.find(engine_id(0))->service};
     service.engine = gateway::EngineShape{.slots = 6, .tokens_per_event = kTokensPerEvent};
     gateway::Configuration configuration;
     configuration.version = gateway::ConfigurationVersion(1000);
     configuration.services.push_back(service);
-    node.fleet.apply(configuration);
+    node.view.apply(configuration);
     node.news.on_profiles(
         {.take = [this](const auto& report) { exchange.receive(report); },
          .take_to_relay = [this](const auto& report) { exchange.receive_for_relay(report); },
@@ -46,7 +46,7 @@
     exchange.start();
   }
   double output(int engine, MonotonicTime now) const {
-    const auto profile = table.find(*node_.fleet.find(engine_id(engine)), now);
+    const auto profile = table.find(*node_.view.find(engine_id(engine)), now);
     return profile ? to_seconds(profile->output_token) / to_seconds(kToken) : 0;
   }
 
@@ -106,9 +106,9 @@
     CHECK(profiles->output(1, fleet.time.now()) == doctest::Approx(1).epsilon(0.02));
     CHECK(profiles->output(70, fleet.time.now()) == doctest::Approx(1).epsilon(0.02));
   }
-  // Each node sends to 10 relays once per second. Each relay sends to its zone of 13 nodes five
-  // times per second, and once more for its own reports. Forwarding each report by itself would
-  // take 66 datagrams per node.
+  // Each node sends to 10 relays once per second. Each relay sends to its zone of about 13 nodes
+  // five times per second, and once more for its own reports; the bound allows seven times.
+  // Forwarding each report by itself would take 66 datagrams per node.
   CHECK(in_four_seconds < 4 * (kNodes * 10 + 10 * 13 * 7));
 }
 
--- a/src/gateway_node/tests/rate_limit_test.cc
+++ b/src/gateway_node/tests/rate_limit_test.cc
@@ -26,7 +26,7 @@
 }
 
 void check_within_limit(const CrashFleet& fleet, const AnnouncedLimit& limit) {
-  const LimitCount count = count_limit(fleet, limit);
+  const LimitCount count = count_requests_against_limit(fleet, limit);
   CAPTURE(limit.per_second);
   CAPTURE(count.rate);
   CAPTURE(count.max_requests);
@@ -73,7 +73,7 @@
   double rate = 0;
   for (const AnnouncedLimit& limit : limits) {
     check_within_limit(fleet, limit);
-    rate += count_limit(fleet, limit).rate;
+    rate += count_requests_against_limit(fleet, limit).rate;
   }
   return rate / (per_second * static_cast<double>(limits.size()));
 }
--- a/src/gateway_node/tests/same_change_again_test.cc
+++ b/src/gateway_node/tests/same_change_again_test.cc
@@ -8,9 +8,10 @@
 using namespace ochrespring::gateway_node;
 using namespace ochrespring::gateway_node::testing;
 
-TEST_CASE("a drain reaches all nodes when the newest known change follows it again") {
+TEST_CASE(
+    "a drain reaches all nodes when a restored store repeats the newest known change after it") {
   UnnamedEraFleet fleet(2);
-  const StoreState::Copy copy = fleet.state.copy();
+  const FakeStoreState::Copy copy = fleet.state.copy();
   fleet.state.put("backends/p0", "ready");
   fleet.state.put("backends/p2", "ready");
   fleet.advance(kPropagationBound);
--- a/src/gateway_node/tests/server_backoff_test.cc
+++ b/src/gateway_node/tests/server_backoff_test.cc
@@ -34,14 +34,14 @@
   CHECK(count.violated == 0);
 }
 
-/// Sends requests that may be retried to the service without engines; counts the answers 503 in
-/// `refused`.
+/// Sends idempotent and non-idempotent requests, about half of each, to the service without
+/// engines; counts the answers 503 in `refused`.
 void send_ordinary(CrashFleet& fleet, double per_second, Duration span, std::size_t& refused) {
   if (span <= Duration::zero()) {
     return;
   }
-  const bool retryable = fleet.random.chance(0.5);
-  fleet.send(fleet.random.below(fleet.nodes.size()), retryable ? "/idempotent/x" : "/once-twice/x",
+  const bool idempotent = fleet.random.chance(0.5);
+  fleet.send(fleet.random.below(fleet.nodes.size()), idempotent ? "/idempotent/x" : "/once-twice/x",
              "ordinary", [&refused](int status) { refused += status == 503 ? 1 : 0; });
   const Duration wait = from_seconds(fleet.random.exponential(1 / per_second));
   fleet.time.schedule_after(wait, [&fleet, per_second, span, wait, &refused] {
--- a/src/gateway_node/tests/settings_test.cc
+++ b/src/gateway_node/tests/settings_test.cc
@@ -71,7 +71,7 @@
 
 TEST_CASE("unknown keys in the file are ignored, and flags take precedence over the file") {
   const std::string path = "/tmp/ochrespring-settings-" + std::to_string(::getpid());
-  std::ofstream(path) << "node = \"from-file\"\nof-tomorrow = 7\nretry-slack = 54\n";
+  std::ofstream(path) << "node = \"from-file\"\nunknown-setting = 7\nretry-slack = 54\n";
   std::vector<std::string> arguments = kValidArguments;
   arguments.push_back("--config=" + path);
   const auto parsed = parse_command_line(arguments);
@@ -84,7 +84,7 @@
 
 TEST_CASE("unknown duties in the list are ignored, and settings of duties have defaults") {
   std::vector<std::string> arguments = kValidArguments;
-  for (const char* argument : {"--cloud=127.0.0.1:6", "--duties=of-tomorrow,usage_report",
+  for (const char* argument : {"--cloud=127.0.0.1:6", "--duties=unknown-duty,usage_report",
                                "--usage-window-s=2.5", "--preemptible-head-room=1.5"}) {
     arguments.emplace_back(argument);
   }
--- a/src/gateway_node/tests/stopping_node.h
+++ b/src/gateway_node/tests/stopping_node.h
@@ -77,9 +77,9 @@
 };
 
 /// Answers each call in the next iteration of the event loop, or never if `silent`.
-class ImmediateStore final : public shared_store::SharedStore {
+class FakeStore final : public shared_store::SharedStore {
  public:
-  ImmediateStore(http::EventLoop& loop, std::string backend)
+  FakeStore(http::EventLoop& loop, std::string backend)
       : loop_(loop), backend_(std::move(backend)) {}
 
   void list(const std::string& /*prefix*/,
@@ -140,7 +140,7 @@
 };
 
 /// Stub: these tests use no engines.
-class NoEngineCalls final : public gateway::EngineCalls {
+class StubEngineCalls final : public gateway::EngineCalls {
  public:
   std::optional<std::string> read_cache_handle(std::string_view /*body*/) const override {
     return std::nullopt;
@@ -154,14 +154,14 @@
 
 /// Holds requests until the test answers them.
 struct HoldingBackend {
-  explicit HoldingBackend(http::EventLoop& loop) : server(loop, on_loopback()) {
+  explicit HoldingBackend(http::EventLoop& loop) : server(loop, loopback_settings()) {
     server.route("/", [this](auto, auto response) { held.push_back(std::move(response)); });
     REQUIRE(server.listen());
   }
-  static http::ServerSettings on_loopback() {
-    http::ServerSettings made;
-    made.listen = Endpoint("127.0.0.1:0");
-    return made;
+  static http::ServerSettings loopback_settings() {
+    http::ServerSettings settings;
+    settings.listen = Endpoint("127.0.0.1:0");
+    return settings;
   }
   /// Answers the oldest request.
   void answer(std::string_view body) {
@@ -178,7 +178,7 @@
 class RawCaller {
  public:
   explicit RawCaller(const Endpoint& node) : descriptor_(::socket(AF_INET, SOCK_STREAM, 0)) {
-    // So small that part of a large answer stays at the node.
+    // A small receive buffer keeps part of a large answer queued at the node.
     const int receive_bytes = 4096;
     ::setsockopt(descriptor_, SOL_SOCKET, SO_RCVBUF, &receive_bytes, sizeof(receive_bytes));
     auto address = http::parse_endpoint(node);
@@ -209,9 +209,9 @@
 };
 
 /// Runs the node and everything around it in one event loop.
-class StoppingNode {
+class NodeFixture {
  public:
-  StoppingNode() {
+  NodeFixture() {
     REQUIRE(node.start());
     advance(1s);
   }
@@ -290,10 +290,10 @@
   http::EventLoop loop{clock};
   http::Client client{loop};
   HoldingBackend backend{loop};
-  ImmediateStore store{loop, backend.server.bound().value()};
+  FakeStore store{loop, backend.server.bound().value()};
   SeededRandom random{5};
   gateway::HeaderNames names;
-  NoEngineCalls engines;
+  StubEngineCalls engines;
   TwoRoutesCodec codec;
   GatewayNode node{loop,
                    client,
--- a/src/gateway_node/tests/store_set_back_test.cc
+++ b/src/gateway_node/tests/store_set_back_test.cc
@@ -17,17 +17,18 @@
 
 namespace {
 
-/// Longest time until all nodes know a change while the store answers, of a staleness bound of 4 s.
+/// Maximum time for a change to reach all nodes while the store is available, as part of the
+/// staleness bound of 4 s.
 constexpr Duration kPropagationBound = 3400ms;
 
 std::size_t count_draining(const LargeFleet& fleet, const std::string& backend) {
   return fleet.count([&](const FleetNode& node) {
-    const gateway::Backend* known = node.fleet.find(gateway::BackendId(backend));
+    const gateway::Backend* known = node.view.find(gateway::BackendId(backend));
     return known != nullptr && known->draining;
   });
 }
 
-void restore_store(LargeFleet& fleet, const StoreState::Copy& copy) {
+void restore_store(LargeFleet& fleet, const FakeStoreState::Copy& copy) {
   fleet.state.down = true;
   fleet.advance(2s);
   fleet.state.roll_back_to(copy);
@@ -36,7 +37,7 @@
 
 /// The store loses its newest changes, which the nodes have seen, in an outage of two seconds.
 void lose_newest_changes(LargeFleet& fleet, int changes) {
-  const StoreState::Copy copy = fleet.state.copy();
+  const FakeStoreState::Copy copy = fleet.state.copy();
   for (int i = 0; i != changes; ++i) {
     fleet.state.put("other/" + std::to_string(i), "value");
   }
@@ -69,7 +70,7 @@
   LargeFleet fleet(6, 0.0);
   fleet.start();
   fleet.heartbeats_enabled = false;
-  const StoreState::Copy copy = fleet.state.copy();
+  const FakeStoreState::Copy copy = fleet.state.copy();
   fleet.state.put("backends/e7", "draining");
   fleet.state.put("backends/e8", "draining");
   fleet.advance(kPropagationBound);
@@ -80,8 +81,8 @@
   for (const char* name : {"e7", "e8"}) {
     const gateway::BackendId id(name);
     CHECK(fleet.count([&](const FleetNode& node) {
-      const gateway::Backend* known = node.fleet.find(id);
-      return known != nullptr && !known->draining && node.fleet.is_leaving(*known);
+      const gateway::Backend* known = node.view.find(id);
+      return known != nullptr && !known->draining && node.view.is_leaving(*known);
     }) == fleet.nodes.size());
   }
 }
@@ -91,7 +92,7 @@
   LargeFleet fleet(6, 0.0);
   fleet.start();
   fleet.heartbeats_enabled = false;
-  const StoreState::Copy copy = fleet.state.copy();
+  const FakeStoreState::Copy copy = fleet.state.copy();
   fleet.state.put("config", "2");
   fleet.state.put("backends/new", "ready");
   fleet.advance(kPropagationBound);
@@ -99,7 +100,7 @@
   fleet.advance(kPropagationBound);
   CHECK(fleet.count_with_version(2) == fleet.nodes.size());
   CHECK(fleet.count([](const FleetNode& node) {
-    return node.fleet.find(gateway::BackendId("new")) == nullptr;
+    return node.view.find(gateway::BackendId("new")) == nullptr;
   }) == fleet.nodes.size());
 }
 
@@ -108,7 +109,7 @@
   fleet.start();
   fleet.heartbeats_enabled = false;
   FleetNode& away = *fleet.nodes[4];
-  const StoreState::Copy copy = fleet.state.copy();
+  const FakeStoreState::Copy copy = fleet.state.copy();
   fleet.state.put("backends/new", "ready");
   fleet.advance(kPropagationBound);
   away.cut_off = true;
@@ -121,14 +122,14 @@
   away.cut_off = false;
   fleet.advance(kPropagationBound);
   CHECK(count_draining(fleet, "e0") == fleet.nodes.size());
-  CHECK(away.fleet.find(gateway::BackendId("new")) == nullptr);
+  CHECK(away.view.find(gateway::BackendId("new")) == nullptr);
   CHECK(away.watcher.statistics().eras_begun == 1);
 }
 
 TEST_CASE("a large fleet enters the new era of its store within the bound") {
   LargeFleet fleet(195);
   fleet.start();
-  const StoreState::Copy copy = fleet.state.copy();
+  const FakeStoreState::Copy copy = fleet.state.copy();
   fleet.state.put("backends/new", "ready");
   fleet.advance(kPropagationBound);
   const std::uint64_t reads = fleet.state.reads;
--- a/src/gateway_node/tests/suspended_node_test.cc
+++ b/src/gateway_node/tests/suspended_node_test.cc
@@ -30,7 +30,7 @@
 TEST_CASE("a woken node polls the store before it rejects an unknown route") {
   CHECK(request_added_route({}) == 200);
   // With a clock that stops during the suspension, the view seems current: the test detects this.
-  CHECK(request_added_route({.still_clock = true}) == 404);
+  CHECK(request_added_route({.clock_stops_when_suspended = true}) == 404);
 }
 
 TEST_CASE("a poll begun before a suspension does not make the view current") {
--- a/src/gateway_node/tests/unnamed_era_test.cc
+++ b/src/gateway_node/tests/unnamed_era_test.cc
@@ -15,7 +15,7 @@
   LargeFleet fleet(6, 0.0);
   fleet.start();
   fleet.heartbeats_enabled = false;
-  const StoreState::Copy copy = fleet.state.copy();
+  const FakeStoreState::Copy copy = fleet.state.copy();
   for (int i = 0; i != 4; ++i) {
     fleet.state.put("other/" + std::to_string(i), "value");
   }
@@ -36,7 +36,7 @@
   fleet.state.down = false;
   fleet.advance(3400ms);
   CHECK(fleet.count([](const FleetNode& node) {
-    const gateway::Backend* known = node.fleet.find(gateway::BackendId("e7"));
+    const gateway::Backend* known = node.view.find(gateway::BackendId("e7"));
     return known != nullptr && known->draining;
   }) == fleet.nodes.size());
 }
--- a/src/gateway_node/tests/unnamed_fleet.h
+++ b/src/gateway_node/tests/unnamed_fleet.h
@@ -7,7 +7,8 @@
 
 namespace ochrespring::gateway_node::testing {
 
-/// Longest time until all nodes know a change while the store answers, of a staleness bound of 4 s.
+/// Maximum time for a change to reach all nodes while the store is available, as part of the
+/// staleness bound of 4 s.
 inline constexpr Duration kPropagationBound = 3400ms;
 
 struct UnnamedEraFleet : LargeFleet {
@@ -21,7 +22,7 @@
   /// The store is unavailable for 2 s and is then restored from the copy. Calls `writes` before any
   /// node reads the store.
   template <class Writes>
-  void restore_from(const StoreState::Copy& copy, const Writes& writes) {
+  void restore_from(const FakeStoreState::Copy& copy, const Writes& writes) {
     state.down = true;
     advance(2s);
     state.roll_back_to(copy);
@@ -35,7 +36,7 @@
   }
   std::size_t count_draining(const std::string& backend) const {
     return count([&](const FleetNode& node) {
-      const gateway::Backend* known = node.fleet.find(gateway::BackendId(backend));
+      const gateway::Backend* known = node.view.find(gateway::BackendId(backend));
       return known != nullptr && known->draining;
     });
   }
@@ -43,7 +44,7 @@
     return count([](const FleetNode& node) { return node.watcher.statistics().eras_begun == 1; });
   }
   bool views_match_store() const {
-    return count([&](const FleetNode& node) { return matches_store(node.fleet); }) == nodes.size();
+    return count([&](const FleetNode& node) { return matches_store(node.view); }) == nodes.size();
   }
   bool matches_store(const gateway::FleetState& view) const {
     std::size_t live = 0;
--- a/src/gateway_node/tests/unnamed_lives_test.cc
+++ b/src/gateway_node/tests/unnamed_lives_test.cc
@@ -22,7 +22,7 @@
         CAPTURE(beyond);
         CAPTURE(heartbeats);
         UnnamedEraFleet fleet(6, heartbeats);
-        const StoreState::Copy copy = fleet.state.copy();
+        const FakeStoreState::Copy copy = fleet.state.copy();
         fleet.write_other_keys("other/", lost);
         fleet.advance(kPropagationBound);
         const std::uint64_t seen = fleet.state.revision;
@@ -44,7 +44,7 @@
   UnnamedEraFleet fleet(6);
   fleet.state.put("other/gone", "value");
   fleet.advance(kPropagationBound);
-  const StoreState::Copy copy = fleet.state.copy();
+  const FakeStoreState::Copy copy = fleet.state.copy();
   fleet.state.put("other/gone", std::nullopt);
   fleet.advance(kPropagationBound);
   fleet.restore_from(copy, [&] {
@@ -58,7 +58,7 @@
 TEST_CASE("a node cut off during the restore learns of the era that the others detected") {
   UnnamedEraFleet fleet(6);
   FleetNode& away = *fleet.nodes[4];
-  const StoreState::Copy copy = fleet.state.copy();
+  const FakeStoreState::Copy copy = fleet.state.copy();
   fleet.write_other_keys("other/", 4);
   fleet.advance(kPropagationBound);
   away.cut_off = true;
@@ -77,7 +77,7 @@
   for (const int count : {20, 66, 195}) {
     CAPTURE(count);
     UnnamedEraFleet fleet(count, true, 0.01);
-    const StoreState::Copy copy = fleet.state.copy();
+    const FakeStoreState::Copy copy = fleet.state.copy();
     fleet.write_other_keys("other/", 4);
     fleet.advance(kPropagationBound);
     const std::uint64_t seen = fleet.state.revision;
@@ -153,7 +153,7 @@
   CHECK(rc::check([&](const Writes& before, const Writes& lost, const Writes& later) {
     UnnamedEraFleet fleet(2);
     write(fleet, before);
-    const StoreState::Copy copy = fleet.state.copy();
+    const FakeStoreState::Copy copy = fleet.state.copy();
     write(fleet, lost);
     fleet.advance(kPropagationBound);
     fleet.restore_from(copy, [&] { write(fleet, later); });
--- a/src/gateway_node/tests/view_exchange_test.cc
+++ b/src/gateway_node/tests/view_exchange_test.cc
@@ -89,7 +89,7 @@
 }
 
 TEST_CASE(
-    "a delta is transferred without the full view, and its age includes the time it was cached") {
+    "a delta is transferred instead of the full view, with at least the age the holder gave it") {
   ViewExchangeFixture fixture;
   int made = 0;
   ViewExchange holder(fixture, {.listen = Endpoint("127.0.0.1:0"), .seeds = {}}, [&](auto after) {
@@ -117,7 +117,8 @@
   CHECK(made <= 2);
 }
 
-TEST_CASE("a holder with a saturated link refers askers to nodes it has served") {
+TEST_CASE(
+    "fetches succeed while the link of a holder is saturated and another node has been served") {
   ViewExchangeFixture fixture;
   // One view of random bytes, which do not compress, occupies a link of 1 Mbit/s for seconds.
   const auto make_large_view = [&](auto) {
