--- a/src/gateway_node/tests/crash_fleet.h
+++ b/src/gateway_node/tests/crash_fleet.h
@@ -158,7 +158,7 @@
   gateway::FleetState view;
   gateway::LoadTable loads;
   gateway::Placement placement;
-  gateway::RetryBudget budget{{0.2, 52, 10s}};
+  gateway::RetryBudget budget{{.ratio = 0.2, .slack = 52, .window = 10s}};
   gateway::SharePicker shares;
   gateway::HeaderNames names;
   gateway::testing::FakeEngineCalls engines;
--- a/src/gateway_node/tests/stopping_node.h
+++ b/src/gateway_node/tests/stopping_node.h
@@ -253,16 +253,16 @@
   Endpoint address() const { return node.caller_address(); }
 
   Settings settings() const {
-    Settings made;
-    made.node = NodeId("n");
-    made.zone = ZoneName("a");
+    Settings result;
+    result.node = NodeId("n");
+    result.zone = ZoneName("a");
     const Endpoint any("127.0.0.1:0");
-    made.listen = any;
-    made.ready_listen = any;
-    made.directory_listen = any;
-    made.peer_listen = any;
-    made.view_listen = any;
-    return made;
+    result.listen = any;
+    result.ready_listen = any;
+    result.directory_listen = any;
+    result.peer_listen = any;
+    result.view_listen = any;
+    return result;
   }
 
  private:
