--- a/src/gateway_load/tests/fixed_admission_test.cc
+++ b/src/gateway_load/tests/fixed_admission_test.cc
@@ -87,23 +87,23 @@
     fleet.set_retries("reviews", wait);
     fleet.run(0s, 2s);
     CHECK((admission.returned > 0) == !wait.has_value());
-    CHECK(fleet.of("reviews").rejected == fleet.of("reviews").offered);
-    CHECK(fleet.of("reviews").on_time == 0);
+    CHECK(fleet.tally("reviews").rejected == fleet.tally("reviews").offered);
+    CHECK(fleet.tally("reviews").on_time == 0);
     CHECK(admission.fresh > 0);
   }
 }
 
-// Guards against a check of hasty callers that cannot fail: under one limit for all classes,
-// callers that retry more often get more calls on time.
+// Guards against a check that cannot fail: under one limit for all classes, callers that retry more
+// often get more calls on time.
 TEST_CASE(
-    "hasty callers gain under a limit shared by all classes and gain nothing under a limit per "
-    "class") {
+    "callers that ignore the retry time gain under a limit shared by all classes and gain nothing "
+    "under a limit per class") {
   const auto gains_nothing = [](FixedAdmission admission, std::uint64_t seed) {
-    LoadFleet fleet(service_a_with_hasty_callers(equal_engines(4), 2, seed));
+    LoadFleet fleet(service_a_with_callers_ignoring_retry_after(equal_engines(4), 2, seed));
     fleet.set_admission(&admission);
     set_retry_behavior(fleet);
     fleet.run(kWarmUp, kMeasured);
-    return hasty_callers_gain_nothing(fleet);
+    return callers_ignoring_retry_after_gain_nothing(fleet);
   };
   for (const std::uint64_t seed : kSeeds) {
     CAPTURE(seed);
--- a/src/gateway_load/tests/load_fleet.cc
+++ b/src/gateway_load/tests/load_fleet.cc
@@ -104,8 +104,8 @@
   gateway::Prompt prompt;
   bool counted = false;
   bool sent = false;
-  BackendId runner{};
-  BackendId at{};                        ///< Engine that processes the call now; empty: none.
+  BackendId decode_engine{};
+  BackendId current_engine{};            ///< Engine that processes the call now; empty: none.
   std::uint64_t unprefilled_tokens = 0;  ///< Counted in the LoadTable, not yet prefilled.
   std::uint32_t events_sent = 0;         ///< Events sent to the caller.
   MonotonicTime last_event{};
@@ -121,7 +121,7 @@
   gateway::EngineProfile profile = found->second->profile();
   for (const auto& [id, call] : fleet_.calls_) {
     profile.long_streams +=
-        call.at == engine.id && call.events >= call.events_sent + kLongStreamMinEvents;
+        call.current_engine == engine.id && call.events >= call.events_sent + kLongStreamMinEvents;
   }
   return profile;
 }
@@ -165,7 +165,7 @@
     node.loads.on_change([this, index](const BackendId& id) { send_report_to_peers(index, id); });
     node.loads.on_prompt(
         [this, index](const BackendId& id, const std::vector<std::uint64_t>& keys) {
-          at(options_.report_delay, [this, index, id, keys] {
+          schedule_after(options_.report_delay, [this, index, id, keys] {
             for (std::size_t other = 0; other != nodes_.size(); ++other) {
               if (other != index) {
                 for (const std::uint64_t key : keys) {
@@ -210,7 +210,7 @@
 
 void LoadFleet::send_report_to_peers(std::size_t node, const BackendId& engine) {
   const gateway::EngineWorkload work = nodes_[node]->loads.own(engine);
-  at(options_.report_delay, [this, node, engine, work] {
+  schedule_after(options_.report_delay, [this, node, engine, work] {
     for (std::size_t other = 0; other != nodes_.size(); ++other) {
       if (other != node) {
         nodes_[other]->peers.receive(node, engine, work);
@@ -219,18 +219,18 @@
   });
 }
 
-void LoadFleet::set_demand(const std::string& name, double factor, const std::string& zone) {
+void LoadFleet::set_demand_factor(const std::string& name, double factor, const std::string& zone) {
   demand_[{name, zone}] = factor;
 }
 
-void LoadFleet::set_demand(const std::string& name, double factor) {
+void LoadFleet::set_demand_factor(const std::string& name, double factor) {
   for (const std::string& zone : options_.node_zones) {
-    set_demand(name, factor, zone);
+    set_demand_factor(name, factor, zone);
   }
 }
 
-void LoadFleet::set_pace(std::size_t engine, double pace) {
-  engines_.at(engine_order_.at(engine))->set_pace(pace, time_.now());
+void LoadFleet::set_slowdown(std::size_t engine, double factor) {
+  engines_.at(engine_order_.at(engine))->set_slowdown(factor, time_.now());
 }
 
 void LoadFleet::terminate_engine(std::size_t engine) {
@@ -239,7 +239,8 @@
   for (const auto& node : nodes_) {
     node->fleet.remove(id);
   }
-  end_calls_if([&](const Call& call) { return call.at == id || call.runner == id; });
+  end_calls_if(
+      [&](const Call& call) { return call.current_engine == id || call.decode_engine == id; });
   engines_.erase(id);
 }
 
@@ -248,7 +249,7 @@
   // The other nodes receive no notice: they count its work until its report expires.
   nodes_.at(node)->loads = gateway::LoadTable();
   end_calls_if([&](const Call& call) { return call.node == node; });
-  at(kReportLifetime, [this, node] {
+  schedule_after(kReportLifetime, [this, node] {
     for (const auto& other : nodes_) {
       other->peers.expire(node);
     }
@@ -263,7 +264,7 @@
     }
   }
   for (const CallId id : ended) {
-    end(id, AttemptOutcome::kAbandoned, &Tally::broken);
+    end(id, AttemptOutcome::kAbandoned, &Tally::interrupted);
   }
 }
 
@@ -325,7 +326,7 @@
   const auto found = demand_.find({request_class.name, nodes_[node]->zone});
   const double factor = found == demand_.end() ? 1 : found->second;
   const double rate = request_class.per_second * factor / static_cast<double>(nodes_.size());
-  at(from_seconds(random_.exponential(1 / rate)), [this, class_index, node] {
+  schedule_after(from_seconds(random_.exponential(1 / rate)), [this, class_index, node] {
     if (arriving_ && !running_nodes_.empty()) {
       const bool running = std::ranges::find(running_nodes_, node) != running_nodes_.end();
       arrive(class_index, running ? node : running_nodes_[random_.below(running_nodes_.size())]);
@@ -349,11 +350,12 @@
   call.prompt = make_prompt(request_class, call.events, id);
   call.counted = measuring_;
   tallies_[request_class.name].offered += call.counted;
-  at(request_class.deadline, [this, id] { end(id, AttemptOutcome::kAbandoned, &Tally::cut_off); });
+  schedule_after(request_class.deadline,
+                 [this, id] { end(id, AttemptOutcome::kAbandoned, &Tally::cut_off); });
   const auto disconnect_after = disconnect_after_.find(request_class.name);
   if (disconnect_after != disconnect_after_.end()) {
-    at(disconnect_after->second,
-       [this, id] { end(id, AttemptOutcome::kAbandoned, &Tally::disconnects); });
+    schedule_after(disconnect_after->second,
+                   [this, id] { end(id, AttemptOutcome::kAbandoned, &Tally::disconnects); });
   }
   if (admission_ == nullptr) {
     send(id);
@@ -384,7 +386,7 @@
   if (retries == retries_.end() || time_.now() - first_arrival > request_class.deadline) {
     return;
   }
-  at(retries->second.value_or(retry_after), [this, class_index, node, first_arrival] {
+  schedule_after(retries->second.value_or(retry_after), [this, class_index, node, first_arrival] {
     const bool running = std::ranges::find(running_nodes_, node) != running_nodes_.end();
     if (arriving_ && running) {
       arrive(class_index, node, first_arrival);
@@ -401,7 +403,7 @@
     end(id, AttemptOutcome::kNotSent, &Tally::rejected);
     return;
   }
-  call.runner = plan.runner.backend->id;
+  call.decode_engine = plan.runner.backend->id;
   const bool separate_prefill = plan.prefill.backend != nullptr;
   const gateway::PlacementChoice& prefill_engine = separate_prefill ? plan.prefill : plan.runner;
   // The engine model has no cache fetches: a part that placement plans to fetch from another engine
@@ -427,8 +429,8 @@
       spec.blocks.push_back(combine_hashes(stable_hash(call.prompt.shared_key()), block));
     }
   }
-  call.at = engine.backend().id;
-  nodes_[call.node]->loads.begin(call.at, call.unprefilled_tokens);
+  call.current_engine = engine.backend().id;
+  nodes_[call.node]->loads.begin(call.current_engine, call.unprefilled_tokens);
   engine.submit(std::move(spec), time_.now());
 }
 
@@ -440,18 +442,18 @@
       take_event(engine, event);
     }
   }
-  at(kTick, [this] { tick(); });
+  schedule_after(kTick, [this] { tick(); });
 }
 
 void LoadFleet::take_event(SimulatedEngine& engine, const engine_model::SequenceEvent& event) {
   const auto found = calls_.find(event.sequence);
-  if (found == calls_.end() || found->second.at != engine.backend().id) {
+  if (found == calls_.end() || found->second.current_engine != engine.backend().id) {
     return;  // The call has ended or has moved to another engine.
   }
   Call& call = found->second;
   switch (event.kind) {
     case SequenceEventKind::kPrefilled:
-      transfer_to_runner(call, engine);
+      transfer_to_decode_engine(call, engine);
       break;
     case SequenceEventKind::kFirstToken:
     case SequenceEventKind::kToken:
@@ -461,20 +463,20 @@
       end(found->first, AttemptOutcome::kSucceeded, call.on_time ? &Tally::on_time : &Tally::late);
       break;
     case SequenceEventKind::kDropped:
-      end(found->first, AttemptOutcome::kFailed, &Tally::broken);
+      end(found->first, AttemptOutcome::kFailed, &Tally::interrupted);
       break;
   }
 }
 
-void LoadFleet::transfer_to_runner(Call& call, SimulatedEngine& prefill_engine) {
-  nodes_[call.node]->loads.note_report(call.at, prefill_engine.report(), time_.now());
+void LoadFleet::transfer_to_decode_engine(Call& call, SimulatedEngine& prefill_engine) {
+  nodes_[call.node]->loads.note_report(call.current_engine, prefill_engine.report(), time_.now());
   end_attempt(call, AttemptOutcome::kSucceeded);
-  SimulatedEngine& runner = *engines_.at(call.runner);
-  const bool same_zone = runner.backend().zone == prefill_engine.backend().zone;
+  SimulatedEngine& decode_engine = *engines_.at(call.decode_engine);
+  const bool same_zone = decode_engine.backend().zone == prefill_engine.backend().zone;
   const MonotonicTime ready = prefill_engine.export_cache(
       call.id, same_zone ? engine_model::Distance::kSameZone : engine_model::Distance::kOtherZone,
       time_.now());
-  submit(call, SequenceKind::kImport, runner, ready);
+  submit(call, SequenceKind::kImport, decode_engine, ready);
 }
 
 void LoadFleet::note_output(Call& call, SimulatedEngine& engine,
@@ -484,8 +486,9 @@
   }
   if (call.events_sent == 0) {
     call.on_time = event.at - call.arrived <= call.request_class->first_event;
-    nodes_[call.node]->loads.note_prefilled(call.at, std::exchange(call.unprefilled_tokens, 0));
-    nodes_[call.node]->loads.note_report(call.at, engine.report(), time_.now());
+    nodes_[call.node]->loads.note_prefilled(call.current_engine,
+                                            std::exchange(call.unprefilled_tokens, 0));
+    nodes_[call.node]->loads.note_report(call.current_engine, engine.report(), time_.now());
   } else {
     call.on_time = call.on_time && event.at - call.last_event <= call.request_class->gap;
   }
@@ -495,9 +498,9 @@
 
 void LoadFleet::end_attempt(Call& call, AttemptOutcome outcome) {
   gateway::LoadTable& loads = nodes_[call.node]->loads;
-  loads.note_prefilled(call.at, std::exchange(call.unprefilled_tokens, 0));
-  loads.end(call.at, outcome, time_.now());
-  call.at = BackendId();
+  loads.note_prefilled(call.current_engine, std::exchange(call.unprefilled_tokens, 0));
+  loads.end(call.current_engine, outcome, time_.now());
+  call.current_engine = BackendId();
 }
 
 void LoadFleet::end(CallId id, AttemptOutcome outcome, std::uint32_t Tally::*count) {
@@ -506,9 +509,9 @@
     return;
   }
   Call& call = found->second;
-  const bool in_progress = !call.at.value().empty();
+  const bool in_progress = !call.current_engine.value().empty();
   if (in_progress && outcome == AttemptOutcome::kAbandoned) {
-    engines_.at(call.at)->cancel(id, time_.now());
+    engines_.at(call.current_engine)->cancel(id, time_.now());
   }
   if (in_progress) {
     end_attempt(call, outcome);
@@ -534,8 +537,8 @@
     }
   }
   tick();
-  at(warm_up, [this] { measuring_ = true; });
-  at(warm_up + measured, [this] { arriving_ = measuring_ = false; });
+  schedule_after(warm_up, [this] { measuring_ = true; });
+  schedule_after(warm_up + measured, [this] { arriving_ = measuring_ = false; });
   Duration longest{};
   for (const RequestClass& request_class : options_.classes) {
     longest = std::max(longest, request_class.deadline);
--- a/src/gateway_load/tests/load_fleet.h
+++ b/src/gateway_load/tests/load_fleet.h
@@ -57,13 +57,15 @@
   std::uint32_t offered = 0;
   std::uint32_t on_time = 0;      ///< First event, all gaps and the end were in time.
   std::uint32_t late = 0;         ///< Completed before the deadline, but not on time.
-  std::uint32_t rejected = 0;     ///< Answered that the request was not run.
+  std::uint32_t rejected = 0;     ///< By the admission or for lack of an engine; not run.
   std::uint32_t cut_off = 0;      ///< Not finished at the deadline.
   std::uint32_t disconnects = 0;  ///< The caller disconnected.
-  std::uint32_t broken = 0;       ///< The engine or the node terminated.
+  std::uint32_t interrupted = 0;  ///< The engine or the node terminated.
 
   double on_time_share() const { return offered == 0 ? 1 : 1.0 * on_time / offered; }
-  std::uint32_t ended() const { return on_time + late + rejected + cut_off + disconnects + broken; }
+  std::uint32_t ended() const {
+    return on_time + late + rejected + cut_off + disconnects + interrupted;
+  }
 };
 
 using CallId = std::uint64_t;
@@ -85,7 +87,8 @@
  public:
   virtual ~Admission() = default;
   virtual void arrived(const Arrival& arrival) = 0;
-  /// A call ended before it was sent: the caller disconnected or the deadline passed.
+  /// A call ended before it was sent: the caller disconnected, the deadline passed or its
+  /// node terminated.
   virtual void left(std::size_t node, CallId call) = 0;
   /// A call that was sent ended.
   virtual void ended(std::size_t node, CallId call) = 0;
@@ -102,28 +105,30 @@
   /// Null, the default, sends every call immediately.
   void set_admission(Admission* admission) { admission_ = admission; }
   /// Multiplies the configured demand of a class in one zone by `factor`.
-  void set_demand(const std::string& name, double factor, const std::string& zone);
-  void set_demand(const std::string& name, double factor);
-  /// Makes work at an engine take `pace` times as long as usual.
-  void set_pace(std::size_t engine, double pace);
+  void set_demand_factor(const std::string& name, double factor, const std::string& zone);
+  void set_demand_factor(const std::string& name, double factor);
+  /// Makes work at an engine take `factor` times as long as usual.
+  void set_slowdown(std::size_t engine, double factor);
   /// Callers of the class disconnect this long after their call arrives.
   void set_disconnect_after(const std::string& name, Duration disconnect_after);
-  /// Rejected callers of the class retry with new calls until the deadline of their first call:
-  /// after `wait` or, if it is empty, after the time that the rejection named.
+  /// Callers of the class retry a call that the admission rejects before the deadline of their
+  /// first call: at the same node, after `wait` or, if it is empty, after the time that the
+  /// rejection named; not if that node has terminated or arrivals have stopped. Each retry is a new
+  /// call with a full deadline of its own.
   void set_retries(const std::string& name, std::optional<Duration> wait) { retries_[name] = wait; }
   /// Terminates the engine: its calls break off and all nodes remove it.
   void terminate_engine(std::size_t engine);
   /// Terminates the node: its calls break off and later callers use the other nodes.
   void terminate_node(std::size_t node);
-  void at(Duration delay, std::function<void()> callback) {
+  void schedule_after(Duration delay, std::function<void()> callback) {
     time_.schedule_after(delay, std::move(callback));
   }
   /// Generates calls for `warm_up` + `measured`, then runs until all calls have ended. Calls that
   /// arrive during `warm_up` are not tallied.
   void run(Duration warm_up, Duration measured);
-  const Tally& of(const std::string& name) const { return tallies_.at(name); }
+  const Tally& tally(const std::string& name) const { return tallies_.at(name); }
 
-  /// Demand that keeps all engines busy at their usual pace, as a multiple of the configured
+  /// Demand that keeps all engines busy at their usual speed, as a multiple of the configured
   /// demand: an upper bound of what any placement can serve.
   double capacity() const;
 
@@ -147,7 +152,7 @@
               MonotonicTime import_ready);
   void tick();
   void take_event(SimulatedEngine& engine, const engine_model::SequenceEvent& event);
-  void transfer_to_runner(Call& call, SimulatedEngine& prefill_engine);
+  void transfer_to_decode_engine(Call& call, SimulatedEngine& prefill_engine);
   void note_output(Call& call, SimulatedEngine& engine, const engine_model::SequenceEvent& event);
   /// Ends a call: `outcome` goes to the load table, `count` is the tally to increment.
   void end(CallId id, gateway::AttemptOutcome outcome, std::uint32_t Tally::*count);
--- a/src/gateway_load/tests/simulated_engine.cc
+++ b/src/gateway_load/tests/simulated_engine.cc
@@ -46,11 +46,11 @@
              parameters_of(backend_, performance)) {}
 
 MonotonicTime SimulatedEngine::to_local(MonotonicTime at) const {
-  return local_at_change_ + from_seconds(to_seconds(at - changed_at_) * speed_ / pace_);
+  return local_at_change_ + from_seconds(to_seconds(at - changed_at_) * speed_ / slowdown_);
 }
 
 MonotonicTime SimulatedEngine::from_local(MonotonicTime at) const {
-  return changed_at_ + from_seconds(to_seconds(at - local_at_change_) * pace_ / speed_);
+  return changed_at_ + from_seconds(to_seconds(at - local_at_change_) * slowdown_ / speed_);
 }
 
 void SimulatedEngine::collect(MonotonicTime now) {
@@ -61,11 +61,11 @@
   }
 }
 
-void SimulatedEngine::set_pace(double pace, MonotonicTime now) {
+void SimulatedEngine::set_slowdown(double factor, MonotonicTime now) {
   collect(now);
   local_at_change_ = to_local(now);
   changed_at_ = now;
-  pace_ = pace;
+  slowdown_ = factor;
 }
 
 void SimulatedEngine::submit(engine_model::SequenceSpec spec, MonotonicTime now) {
@@ -95,7 +95,7 @@
   return {.running = running,
           .waiting = all - running,
           .slots = performance_.slots,
-          .pace_percent = static_cast<std::uint32_t>(std::lround(pace_ * 100))};
+          .pace_percent = static_cast<std::uint32_t>(std::lround(slowdown_ * 100))};
 }
 
 gateway::EngineProfile SimulatedEngine::profile() const {
--- a/src/gateway_load/tests/simulated_engine.h
+++ b/src/gateway_load/tests/simulated_engine.h
@@ -29,8 +29,8 @@
   /// `speed` is a factor on the nominal performance.
   SimulatedEngine(gateway::Backend backend, const EnginePerformance& performance, double speed);
 
-  /// Makes work take `pace` times as long as usual from `now` on.
-  void set_pace(double pace, MonotonicTime now);
+  /// Makes work take `factor` times as long as usual from `now` on.
+  void set_slowdown(double factor, MonotonicTime now);
   void submit(engine_model::SequenceSpec spec, MonotonicTime now);
   void cancel(engine_model::SequenceId sequence, MonotonicTime now);
   /// Exports the cache of a prefilled sequence; returns the time at which the transfer is complete.
@@ -54,7 +54,7 @@
   gateway::Backend backend_;
   EnginePerformance performance_;
   double speed_;
-  double pace_ = 1;
+  double slowdown_ = 1;
   MonotonicTime changed_at_{};       ///< Last change of the local clock's rate.
   MonotonicTime local_at_change_{};  ///< Local time at that change.
   engine_model::EngineModel model_;
--- a/src/gateway_load/tests/spare_capacity_test.cc
+++ b/src/gateway_load/tests/spare_capacity_test.cc
@@ -27,11 +27,11 @@
   for (const std::uint64_t seed : kSeeds) {
     CAPTURE(seed);
     LoadFleet fleet(service_a(equal_engines(4), 0.3, seed));
-    fleet.at(kWarmUp + 2s, [&] { fleet.set_pace(0, 2.5); });
-    fleet.at(kWarmUp + 2s + 600ms, [&] { fleet.set_pace(0, 1); });
+    fleet.schedule_after(kWarmUp + 2s, [&] { fleet.set_slowdown(0, 2.5); });
+    fleet.schedule_after(kWarmUp + 2s + 600ms, [&] { fleet.set_slowdown(0, 1); });
     fleet.run(kWarmUp, kMeasured);
-    CHECK(fleet.of("chats").on_time_share() >= kNearlyAll);
-    CHECK(fleet.of("reviews").on_time_share() >= kNearlyAll);
+    CHECK(fleet.tally("chats").on_time_share() >= kMinOnTimeShare);
+    CHECK(fleet.tally("reviews").on_time_share() >= kMinOnTimeShare);
   }
 }
 
@@ -54,7 +54,7 @@
   for (const std::uint64_t seed : kSeeds) {
     CAPTURE(seed);
     LoadFleet fleet(service_a(equal_engines(6), 0.3, seed));
-    fleet.at(kWarmUp - 1ms, [&] { fleet.terminate_engine(2); });
+    fleet.schedule_after(kWarmUp - 1ms, [&] { fleet.terminate_engine(2); });
     fleet.run(kWarmUp, kMeasured);
     check_on_time(fleet, "reviews");
     check_on_time(fleet, "chats");
@@ -67,7 +67,7 @@
   for (const std::uint64_t seed : kSeeds) {
     CAPTURE(seed);
     LoadFleet fleet(service_a(equal_engines(6), 0.3, seed));
-    fleet.at(kWarmUp - 1ms, [&] { fleet.terminate_node(3); });
+    fleet.schedule_after(kWarmUp - 1ms, [&] { fleet.terminate_node(3); });
     fleet.run(kWarmUp, kMeasured);
     check_on_time(fleet, "reviews");
     check_on_time(fleet, "chats");
--- a/src/gateway_load/tests/uneven_engines_test.cc
+++ b/src/gateway_load/tests/uneven_engines_test.cc
@@ -22,8 +22,8 @@
   for (std::size_t engine = 0; engine != engines; ++engine) {
     for (Duration start = kSlowCycle * engine / engines; start < kWarmUp + kMeasured + 15s;
          start += kSlowCycle) {
-      fleet.at(start, [&fleet, engine] { fleet.set_pace(engine, kSlowdown); });
-      fleet.at(start + kSlowSpan, [&fleet, engine] { fleet.set_pace(engine, 1); });
+      fleet.schedule_after(start, [&fleet, engine] { fleet.set_slowdown(engine, kSlowdown); });
+      fleet.schedule_after(start + kSlowSpan, [&fleet, engine] { fleet.set_slowdown(engine, 1); });
     }
   }
 }
@@ -40,7 +40,7 @@
     LoadFleet fleet(service_a(engines, 0.3, seed));
     slow_down_in_turn(fleet, engines.size());
     fleet.run(kWarmUp, kMeasured);
-    CHECK(fleet.of("chats").on_time_share() >= kNearlyAll);
-    CHECK(fleet.of("reviews").on_time_share() >= kNearlyAll);
+    CHECK(fleet.tally("chats").on_time_share() >= kMinOnTimeShare);
+    CHECK(fleet.tally("reviews").on_time_share() >= kMinOnTimeShare);
   }
 }
--- a/src/gateway_load/tests/workload.h
+++ b/src/gateway_load/tests/workload.h
@@ -15,9 +15,9 @@
 
 /// Minimum on-time share of a class whose demand the engines can serve. One call in twenty may be
 /// late because Poisson arrivals burst at a small number of engines.
-inline constexpr double kNearlyAll = 0.95;
+inline constexpr double kMinOnTimeShare = 0.95;
 /// A class is starved if it gets less than this part of its even share of the capacity.
-inline constexpr double kNotStarved = 0.5;
+inline constexpr double kMinPartOfEvenShare = 0.5;
 
 inline constexpr std::uint64_t kSeeds[] = {1, 2, 3};
 
@@ -62,8 +62,8 @@
 
 /// As service_a, but half of the reviews form the class `hasty`, whose rejected callers retry after
 /// 20 ms and ignore the retry time of the rejection. The other callers honor it.
-inline FleetOptions service_a_with_hasty_callers(std::vector<EngineOptions> engines, double load,
-                                                 std::uint64_t seed) {
+inline FleetOptions service_a_with_callers_ignoring_retry_after(std::vector<EngineOptions> engines,
+                                                                double load, std::uint64_t seed) {
   FleetOptions options = service_a(std::move(engines), load, seed);
   options.classes[0].per_second /= 2;
   RequestClass hasty = options.classes[0];
@@ -82,8 +82,8 @@
 
 /// Whether callers that ignore the retry time get no more calls on time than callers that honor it;
 /// both have the same demand.
-inline bool hasty_callers_gain_nothing(const LoadFleet& fleet) {
-  return fleet.of("hasty").on_time <= kChanceTolerance * fleet.of("reviews").on_time;
+inline bool callers_ignoring_retry_after_gain_nothing(const LoadFleet& fleet) {
+  return fleet.tally("hasty").on_time <= kChanceTolerance * fleet.tally("reviews").on_time;
 }
 
 /// `count` equal engines that prefill and decode, spread over three zones.
@@ -98,19 +98,19 @@
 /// Checks a class whose demand the engines can serve: calls are on time and none is rejected.
 inline void check_on_time(const LoadFleet& fleet, const std::string& name) {
   CAPTURE(name);
-  CHECK(fleet.of(name).ended() == fleet.of(name).offered);
-  CHECK(fleet.of(name).on_time_share() >= kNearlyAll);
-  CHECK(fleet.of(name).rejected == 0);
-  CHECK(fleet.of(name).cut_off == 0);
+  CHECK(fleet.tally(name).ended() == fleet.tally(name).offered);
+  CHECK(fleet.tally(name).on_time_share() >= kMinOnTimeShare);
+  CHECK(fleet.tally(name).rejected == 0);
+  CHECK(fleet.tally(name).cut_off == 0);
 }
 
 /// Checks a class when demand is `load` times the capacity: it is not starved, and no call is cut
 /// off at its deadline.
 inline void check_fair_share(const LoadFleet& fleet, const std::string& name, double load) {
   CAPTURE(name);
-  CHECK(fleet.of(name).ended() == fleet.of(name).offered);
-  CHECK(fleet.of(name).on_time_share() >= kNotStarved / load);
-  CHECK(fleet.of(name).cut_off == 0);
+  CHECK(fleet.tally(name).ended() == fleet.tally(name).offered);
+  CHECK(fleet.tally(name).on_time_share() >= kMinPartOfEvenShare / load);
+  CHECK(fleet.tally(name).cut_off == 0);
 }
 
 inline constexpr Duration kWarmUp{std::chrono::seconds(4)};
