--- a/src/gateway/backend_incarnation.h
+++ b/src/gateway/backend_incarnation.h
@@ -11,14 +11,15 @@
 namespace ochrespring::gateway {
 
 /// Makes the id of one incarnation. A back end may restart under the same name, without any state
-/// of its earlier incarnation. Incarnations are distinguished by their start time `born` in Unix
-/// milliseconds, if the platform provides it. The time identifies an incarnation but does not order
-/// it, since the clock of a machine may go back. All state that a node keeps about a back end is
-/// keyed by this id and discarded with it.
-inline BackendId make_backend_id(std::string_view name, std::optional<std::uint64_t> born) {
+/// of its earlier incarnation. Incarnations are distinguished by their start time `start_time_ms`
+/// in Unix milliseconds, if the platform provides it. The time identifies an incarnation but does
+/// not order it, since the clock of a machine may go back. All state that a node keeps about a back
+/// end is keyed by this id and discarded with it.
+inline BackendId make_backend_id(std::string_view name,
+                                 std::optional<std::uint64_t> start_time_ms) {
   std::string id(name);
-  if (born) {
-    id += '@' + std::to_string(*born);
+  if (start_time_ms) {
+    id += '@' + std::to_string(*start_time_ms);
   } else if (name.find('@') != std::string_view::npos) {
     // The name ends at the last '@'.
     id += '@';
@@ -26,7 +27,8 @@
   return BackendId(std::move(id));
 }
 
-/// Whether the id distinguishes incarnations: another one may then answer at the same address.
+/// Whether the id contains a start time, so that another incarnation at the same address can be
+/// told apart; also true for an id without one whose name contains an '@'.
 inline bool has_incarnation(const BackendId& id) {
   return id.value().find('@') != std::string::npos;
 }
--- a/src/gateway/backend_request.cc
+++ b/src/gateway/backend_request.cc
@@ -82,7 +82,7 @@
   outgoing.body = request.body;
   outgoing.timeout = call.time_left;
   outgoing.connect_timeout = std::min(kConnectTimeout, call.time_left);
-  outgoing.most_idle = call.max_idle_connections;
+  outgoing.max_idle_connections = call.max_idle_connections;
   outgoing.close_ends_answer = true;
   outgoing.echo = http::Header{names.request_id,
                                std::string(http::find_header(request.headers, names.request_id))};
--- a/src/gateway/gap_forecast.h
+++ b/src/gateway/gap_forecast.h
@@ -20,10 +20,11 @@
   double max_events = 0;
 };
 
-/// Gaps of the streams at one engine. An event takes as long as its tokens, plus the prefill work
-/// that the engine does at the same time: an engine that decodes prefills at half the speed of one
-/// that does not, a chunk in each step, and all of its streams wait for that chunk. Disturbances
-/// multiply both. Has no side effects; keeps references to `profiles` and the service name.
+/// Predicts the gaps between events of streams at one engine. The time per event is the decode time
+/// of its tokens plus that of concurrent prefill: an engine that decodes prefills at half the speed
+/// of one that does not, a chunk in each step, and all of its streams wait for that chunk.
+/// Disturbances multiply both. Has no side effects; keeps references to `profiles` and the service
+/// name.
 class GapForecast {
  public:
   struct Engine {
--- a/src/gateway/progress_timeout.cc
+++ b/src/gateway/progress_timeout.cc
@@ -9,7 +9,9 @@
 
 constexpr int kTargetLatencyFactor = 3;
 constexpr Duration kMinProgressTimeout = std::chrono::milliseconds(300);
-constexpr int kFirstEventLatencyHalves = 5;
+/// 2.5 times the target latency, as a fraction because durations are integers.
+constexpr int kFirstEventLatencyNumerator = 5;
+constexpr int kFirstEventLatencyDenominator = 2;
 constexpr int kTargetGapFactor = 3;
 
 }  // namespace
@@ -21,7 +23,8 @@
   if (head_sent) {
     return std::max<Duration>(kTargetGapFactor * route.target_gap, kMinProgressTimeout);
   }
-  return std::max<Duration>(kFirstEventLatencyHalves * route.target_latency / 2, left / 2);
+  return std::max<Duration>(
+      kFirstEventLatencyNumerator * route.target_latency / kFirstEventLatencyDenominator, left / 2);
 }
 
 }  // namespace ochrespring::gateway
--- a/src/gateway/progress_timeout.h
+++ b/src/gateway/progress_timeout.h
@@ -1,4 +1,5 @@
-// How long a back end may make no progress before a retryable request is sent to another one.
+// How long a back end may send nothing before the request is retried, or its stream resumed,
+// elsewhere.
 #pragma once
 
 #include "base/time.h"
@@ -7,8 +8,8 @@
 namespace ochrespring::gateway {
 
 /// Pure function. `head_sent` says whether the caller has the start of a stream, `left` is the time
-/// until the request's deadline. A long prefill before the first event is normal, so it may take
-/// half of the time left.
+/// until the request's deadline. Before the first event of a stream, the result is the larger of
+/// 2.5 times the target latency and half of `left`, because a long prefill is normal.
 Duration progress_timeout(const Route& route, bool head_sent, Duration left);
 
 }  // namespace ochrespring::gateway
--- a/src/gateway/retry_limit.h
+++ b/src/gateway/retry_limit.h
@@ -23,7 +23,8 @@
   /// Counts an ended attempt of which a byte may have been sent.
   void note_send() { ++sends_; }
   std::uint32_t sends() const { return sends_; }
-  /// Excludes one send from the route's attempts.
+  /// Called when a backup engine refused to resume: that send does not count towards the route's
+  /// attempts.
   void exclude_send() { ++excluded_sends_; }
   /// Whether the current attempt is the last one that the route allows. With `ended`, the attempt
   /// has already been counted by note_send().
--- a/src/gateway/tests/fake_gate.h
+++ b/src/gateway/tests/fake_gate.h
@@ -1,4 +1,4 @@
-// A gateway with a send gate that the test controls.
+// A fake send gate that the test controls, and a gateway fixture that uses it.
 #pragma once
 
 #include <chrono>
@@ -47,7 +47,7 @@
                                        MonotonicTime /*now*/) const override {
     return full.empty() ? std::nullopt
                         : std::optional(RoomForecast{.wait = std::chrono::milliseconds(700),
-                                                     .backing_off = backing_off});
+                                                     .backing_off = forecast_backing_off});
   }
   void note_answer(const BackendAnswer& answer) override { answers.push_back(answer); }
 
@@ -64,7 +64,7 @@
   std::set<BackendId> full;
   std::set<BackendId> backed_off;
   std::vector<BackendId> sent;
-  bool backing_off = false;
+  bool forecast_backing_off = false;
   std::set<BackendId> denies;
   bool claims_pending = false;
   std::vector<SendRank> ranks;
@@ -83,12 +83,12 @@
                                       std::vector<http::Header> headers = {}) {
     headers.push_back({"host", "h"});
     auto caller = std::make_shared<FakeCaller>();
-    gated.handle({"POST", path, "", std::move(headers), "body"}, caller);
+    gateway_under_test.handle({"POST", path, "", std::move(headers), "body"}, caller);
     return caller;
   }
 
   FakeGate gate;
-  Gateway gated{environment_with(nullptr, &gate), [](auto done) { done(true); }};
+  Gateway gateway_under_test{environment_with(nullptr, &gate), [](auto done) { done(true); }};
 };
 
 }  // namespace ochrespring::gateway::testing
--- a/src/gateway/tests/fake_profiles.h
+++ b/src/gateway/tests/fake_profiles.h
@@ -8,7 +8,7 @@
 
 namespace ochrespring::gateway::testing {
 
-/// Engines without an entry in `own_profiles` have `usual_profile`.
+/// Engines without an entry in `own_profiles` have `median`.
 class FakeProfiles final : public EngineProfiles {
  public:
   std::optional<EngineProfile> find(const Backend& engine, MonotonicTime now) const override {
@@ -17,7 +17,7 @@
   }
   std::optional<EngineProfile> usual(const ServiceName& /*service*/,
                                      MonotonicTime /*now*/) const override {
-    return usual_profile;
+    return median;
   }
   /// Work takes `disturbed_factor` times its normal duration for `disturbed_share` of the time.
   double share_slower_than(const ServiceName& /*service*/, double factor,
@@ -25,7 +25,7 @@
     return factor < 1 ? 1 : (factor < disturbed_factor ? disturbed_share : 0);
   }
 
-  std::optional<EngineProfile> usual_profile;
+  std::optional<EngineProfile> median;
   std::map<BackendId, EngineProfile> own_profiles;
   double disturbed_share = 0;
   double disturbed_factor = 1;
--- a/src/gateway/tests/gap_forecast_test.cc
+++ b/src/gateway/tests/gap_forecast_test.cc
@@ -1,5 +1,5 @@
-// Guards against late streams whose first event is early: placement has to avoid engines that are
-// slow, disturbed, or prefill prompts beside their streams.
+// Tests that placement avoids engines where later events of a stream would be late although the
+// first one is on time: engines that are slow, disturbed, or prefill prompts beside their streams.
 #include "gateway/gap_forecast.h"
 
 #include <doctest/doctest.h>
@@ -44,9 +44,9 @@
   return needs;
 }
 
-struct World {
-  World() {
-    profiles.usual_profile = kTypical;
+struct PlacementFixture {
+  PlacementFixture() {
+    profiles.median = kTypical;
     profiles.disturbed_share = 0.15;
     profiles.disturbed_factor = 2.5;
   }
@@ -83,99 +83,99 @@
 TEST_CASE(
     "long streams are predicted late on a slow engine with occasional disturbances, not on a "
     "typical one") {
-  const World world;
-  CHECK(world.forecast(kTypical).late_stream_probability(long_stream(), 0) == 0);
-  CHECK(world.forecast(kSlow).late_stream_probability(long_stream(), 0) > 0.9);
-  CHECK(world.forecast(kSlow).late_stream_probability(short_stream(), 0) < 0.3);
+  const PlacementFixture fixture;
+  CHECK(fixture.forecast(kTypical).late_stream_probability(long_stream(), 0) == 0);
+  CHECK(fixture.forecast(kSlow).late_stream_probability(long_stream(), 0) > 0.9);
+  CHECK(fixture.forecast(kSlow).late_stream_probability(short_stream(), 0) < 0.3);
 }
 
 TEST_CASE(
     "prefill work makes the next gap late, and less of it suffices while the engine is disturbed") {
-  const World world;
+  const PlacementFixture fixture;
   const ReportedPace disturbed{.factor = 2.5, .weight = 1};
   const ReportedPace usual{.factor = 1, .weight = 1};
-  CHECK(world.forecast(kTypical, usual).late_gap_probability(150ms, 10'000) == 0);
-  CHECK(world.forecast(kTypical, usual).late_gap_probability(150ms, 30'000) == 1);
-  CHECK(world.forecast(kTypical, disturbed).late_gap_probability(150ms, 0) == 0);
-  CHECK(world.forecast(kTypical, disturbed).late_gap_probability(150ms, 10'000) == 1);
+  CHECK(fixture.forecast(kTypical, usual).late_gap_probability(150ms, 10'000) == 0);
+  CHECK(fixture.forecast(kTypical, usual).late_gap_probability(150ms, 30'000) == 1);
+  CHECK(fixture.forecast(kTypical, disturbed).late_gap_probability(150ms, 0) == 0);
+  CHECK(fixture.forecast(kTypical, disturbed).late_gap_probability(150ms, 10'000) == 1);
   // Without a current pace report the long-term share applies.
-  CHECK(world.forecast(kTypical).late_gap_probability(150ms, 10'000) == doctest::Approx(0.15));
+  CHECK(fixture.forecast(kTypical).late_gap_probability(150ms, 10'000) == doctest::Approx(0.15));
 }
 
 TEST_CASE("the probability of a missed deadline depends on the expected events and the time left") {
-  const World world;
-  CHECK(world.forecast(kTypical).missed_deadline_probability(long_stream()) == 0);
+  const PlacementFixture fixture;
+  CHECK(fixture.forecast(kTypical).missed_deadline_probability(long_stream()) == 0);
   StreamRequirements longest = long_stream();
   longest.expected_events = 170;
-  CHECK(world.forecast(kSlow).missed_deadline_probability(longest) > 0.4);
+  CHECK(fixture.forecast(kSlow).missed_deadline_probability(longest) > 0.4);
   longest.time_left = -1s;
-  CHECK(world.forecast(kSlow).missed_deadline_probability(longest) == doctest::Approx(1));
+  CHECK(fixture.forecast(kSlow).missed_deadline_probability(longest) == doctest::Approx(1));
 }
 
 TEST_CASE("long streams go to engines that keep their target gap, short streams to any") {
-  World world;
-  world.put("slow", kSlow);
-  world.put("usual", kTypical);
-  world.loads.begin(BackendId("usual"), 4'000);
-  CHECK(world.choose(long_stream(), 200) == "usual");
-  CHECK(world.choose(short_stream(), 200) == "slow");
+  PlacementFixture fixture;
+  fixture.put("slow", kSlow);
+  fixture.put("usual", kTypical);
+  fixture.loads.begin(BackendId("usual"), 4'000);
+  CHECK(fixture.choose(long_stream(), 200) == "usual");
+  CHECK(fixture.choose(short_stream(), 200) == "slow");
 }
 
 TEST_CASE("short streams leave scarce slots to long streams if few engines suit these") {
-  World world;
-  world.put("slow", kSlow);
-  world.put("usual", kTypical);
-  CHECK(world.choose(short_stream(), 200) == "usual");
+  PlacementFixture fixture;
+  fixture.put("slow", kSlow);
+  fixture.put("usual", kTypical);
+  CHECK(fixture.choose(short_stream(), 200) == "usual");
   for (std::uint32_t i = 0; i != 4; ++i) {
-    world.loads.begin(BackendId("usual"), 0);
+    fixture.loads.begin(BackendId("usual"), 0);
   }
-  CHECK(world.choose(short_stream(), 200) == "slow");
-  CHECK(world.choose(long_stream(), 200) == "usual");
-  world.profiles.own_profiles[BackendId("slow")] = kTypical;
+  CHECK(fixture.choose(short_stream(), 200) == "slow");
+  CHECK(fixture.choose(long_stream(), 200) == "usual");
+  fixture.profiles.own_profiles[BackendId("slow")] = kTypical;
   for (std::uint32_t i = 0; i != 5; ++i) {
-    world.loads.begin(BackendId("slow"), 0);
+    fixture.loads.begin(BackendId("slow"), 0);
   }
-  CHECK(world.choose(short_stream(), 200) == "usual");
+  CHECK(fixture.choose(short_stream(), 200) == "usual");
 }
 
 TEST_CASE("a long prompt goes to an engine where its prefill makes no stream late") {
-  World world;
-  world.put("streams", make_profile(kTypical.output_token, kTypical.prompt_token, 3));
-  world.put("busy", kTypical);
-  BackendLoad& streams = world.loads.find_or_create(BackendId("streams"));
+  PlacementFixture fixture;
+  fixture.put("streams", make_profile(kTypical.output_token, kTypical.prompt_token, 3));
+  fixture.put("busy", kTypical);
+  BackendLoad& streams = fixture.loads.find_or_create(BackendId("streams"));
   streams.note_report({.running = 3, .slots = 6, .pace_percent = 250}, {});
   for (std::uint32_t i = 0; i != 3; ++i) {
-    world.loads.begin(BackendId("busy"), 3'000);
+    fixture.loads.begin(BackendId("busy"), 3'000);
   }
-  CHECK(world.choose(short_stream(), 9'000) == "busy");
+  CHECK(fixture.choose(short_stream(), 9'000) == "busy");
   streams.note_report({.running = 3, .slots = 6}, {});
-  CHECK(world.choose(short_stream(), 9'000) == "streams");
+  CHECK(fixture.choose(short_stream(), 9'000) == "streams");
 }
 
 TEST_CASE("an engine whose slots are all occupied by long streams is not chosen") {
-  World world;
-  world.put("full", make_profile(kTypical.output_token, kTypical.prompt_token, 6));
-  world.put("reading", kTypical);
+  PlacementFixture fixture;
+  fixture.put("full", make_profile(kTypical.output_token, kTypical.prompt_token, 6));
+  fixture.put("prefilling", kTypical);
   for (std::uint32_t i = 0; i != 6; ++i) {
-    world.loads.begin(BackendId("full"), 0);
+    fixture.loads.begin(BackendId("full"), 0);
   }
-  world.loads.begin(BackendId("reading"), 8'000);
-  CHECK(world.choose(short_stream(), 200) == "reading");
+  fixture.loads.begin(BackendId("prefilling"), 8'000);
+  CHECK(fixture.choose(short_stream(), 200) == "prefilling");
 }
 
 TEST_CASE("without profiles, or with generous target gaps, only tokens decide the placement") {
-  World world;
-  world.put("a", kSlow);
-  world.put("b", kTypical);
-  world.loads.begin(BackendId("b"), 0);
+  PlacementFixture fixture;
+  fixture.put("a", kSlow);
+  fixture.put("b", kTypical);
+  fixture.loads.begin(BackendId("b"), 0);
   StreamRequirements easy = long_stream();
   easy.target_gap = 10s;
   easy.min_target_gap = 10s;
   easy.time_left = 100s;
-  CHECK(world.choose(long_stream(), 200) == "b");
-  CHECK(world.choose(easy, 200) == "a");
-  world.profiles.own_profiles.clear();
-  CHECK(world.choose(easy, 200) == "a");
-  world.profiles.usual_profile.reset();
-  CHECK(world.choose(long_stream(), 200) == "a");
+  CHECK(fixture.choose(long_stream(), 200) == "b");
+  CHECK(fixture.choose(easy, 200) == "a");
+  fixture.profiles.own_profiles.clear();
+  CHECK(fixture.choose(easy, 200) == "a");
+  fixture.profiles.median.reset();
+  CHECK(fixture.choose(long_stream(), 200) == "a");
 }
--- a/src/gateway/tests/resumed_stream_test.cc
+++ b/src/gateway/tests/resumed_stream_test.cc
@@ -1,4 +1,4 @@
-// Tests of streams whose server fails: when they are resumed at the engine that holds their copy,
+// Tests of streams whose engine fails: when they are resumed at the engine that holds their copy,
 // and with which request.
 #include <doctest/doctest.h>
 
@@ -41,7 +41,7 @@
 struct ResumeFixture : GatewayFixture {
   StubGuard guard;
   FakeGate gate;
-  Gateway served{environment_with(&guard, &gate), [](auto done) { done(true); }};
+  Gateway gateway_under_test{environment_with(&guard, &gate), [](auto done) { done(true); }};
   std::shared_ptr<FakeExchange> run;  ///< Exchange of the latest stream.
   std::string backup;                 ///< Its backup engine.
 
@@ -63,7 +63,7 @@
                                    {names.prompt_parts, "aa:100,bb:100"},
                                    {names.token_counts, counts}});
     auto caller = std::make_shared<FakeCaller>();
-    served.handle({"POST", path, "", std::move(headers), "body"}, caller);
+    gateway_under_test.handle({"POST", path, "", std::move(headers), "body"}, caller);
     run = transport.started.empty() ? nullptr : transport.started.back();
     backup = run ? run->header(names.cache_backup) : "";
     return caller;
@@ -120,7 +120,7 @@
   CHECK(caller->header(names.signature) == "sig");
   CHECK(caller->body == "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n");
   CHECK(caller->finished);
-  CHECK(statistics.continued_whole == 1);
+  CHECK(statistics.resumes_completed == 1);
 }
 
 // Guards against running a request twice that must not be retried: an engine that crashes during
@@ -138,7 +138,7 @@
   run->fail(head_received ? HttpErrc::kTruncated : HttpErrc::kStaleConnection, true);
   CHECK(sends() == 1);
   CHECK(caller->ended());
-  CHECK(statistics.streams_continued == 0);
+  CHECK(statistics.resume_attempts == 0);
 }
 
 // Guards against running a request again that must not be retried, and against not retrying one
@@ -154,7 +154,7 @@
       REQUIRE(fixture.resumed_at_backup());
       if (failure == HttpErrc::kReset) {
         fixture.last().answer(503, {{fixture.names.not_run, "1"}}, "");
-        CHECK(fixture.statistics.copies_missing == 1);
+        CHECK(fixture.statistics.resumes_refused == 1);
       } else {
         fixture.last().fail(failure, false);
       }
@@ -208,9 +208,10 @@
   CHECK(sends() == 1);
 }
 
-// Guards against running the stream at two servers at once.
-TEST_CASE_FIXTURE(ResumeFixture,
-                  "an unresponsive server is left only if it is known to have terminated") {
+// Guards against running the stream at two engines at once.
+TEST_CASE_FIXTURE(
+    ResumeFixture,
+    "a stream leaves an unresponsive engine only if the engine is known to have terminated") {
   const auto caller = begin("/stream/x");
   SUBCASE("timed out") {
     run->fail(HttpErrc::kTimeout, true);
@@ -219,7 +220,7 @@
   }
   SUBCASE("unregistered, but still sending") {
     fleet.remove(runner_id());
-    served.on_backend_unregistered(runner_id());
+    gateway_under_test.on_backend_unregistered(runner_id());
     for (const char* rest : {"ta: b\n\n", "id: 3\ndata: c\n\n"}) {
       advance(800ms);
       run->observer->on_body(rest);
@@ -229,7 +230,7 @@
   SUBCASE("unregistered together with its backup engine") {
     fleet.remove(backup_id());
     fleet.remove(runner_id());
-    served.on_backend_unregistered(runner_id());
+    gateway_under_test.on_backend_unregistered(runner_id());
     advance(1500ms);
     CHECK(run->open);
     CHECK(sends() == 1);
@@ -237,13 +238,13 @@
   SUBCASE("unregistered while the caller reads nothing and reading is stopped") {
     caller->buffered = 1;
     fleet.remove(runner_id());
-    served.on_backend_unregistered(runner_id());
+    gateway_under_test.on_backend_unregistered(runner_id());
     advance(1500ms);
     CHECK(run->open);
   }
   SUBCASE("unregistered and unresponsive") {
     fleet.remove(runner_id());
-    served.on_backend_unregistered(runner_id());
+    gateway_under_test.on_backend_unregistered(runner_id());
     advance(800ms);
     CHECK(run->open);
     advance(200ms);
@@ -339,7 +340,7 @@
     caller->disconnect();
   }
   SUBCASE("stopped") {
-    served.finish_all();
+    gateway_under_test.finish_all();
   }
   SUBCASE("deadline") {
     advance(2s);
@@ -349,7 +350,7 @@
   CHECK((caller->aborted || caller->disconnected));
 }
 
-// Guards against giving a second server to a request that crashes its servers.
+// Guards against giving a second engine to a request that crashes its engines.
 TEST_CASE_FIXTURE(ResumeFixture, "the trial of a quarantined request has no backup") {
   guard.verdict = SendVerdict::kTrialDue;
   ask("/stream/x");
@@ -363,7 +364,7 @@
 // Guards against releasing the handle while the runner uses it, and against sending it to the
 // backup engine together with the run.
 TEST_CASE_FIXTURE(ResumeFixture,
-                  "a cache handle that the first server used is not sent to the backup engine") {
+                  "a cache handle that the first engine used is not sent to the backup engine") {
   add_backend("p1", "llm", EngineRole::kPrefill);
   const auto caller = ask("/stream/x", "18000,6000", {{names.prompt_parts, "cc:9000,dd:9000"}});
   REQUIRE(last().header(names.phase) == "prefill");
@@ -378,7 +379,7 @@
   run->fail(HttpErrc::kReset, true);
   CHECK(last().request.endpoint.value() == backup);
   CHECK(last().header(names.cache_source) == run->request.endpoint.value() + "/r1");
-  CHECK(transport.forgotten.empty());
+  CHECK(transport.sent_without_reply.empty());
 }
 
 // Guards against missing or duplicate events.
@@ -389,5 +390,5 @@
   run->fail(HttpErrc::kTruncated, true);
   CHECK(sends() == 1);
   CHECK(caller->aborted);
-  CHECK(statistics.not_continued == 1);
+  CHECK(statistics.streams_not_resumed == 1);
 }
--- a/src/gateway_node/peer_exchange.cc
+++ b/src/gateway_node/peer_exchange.cc
@@ -12,7 +12,7 @@
 /// which a node that has just started waits for a view.
 constexpr Duration kOfferInterval = std::chrono::milliseconds(500);
 /// Interval between announcements that this node leaves. Callers look nodes up every few seconds,
-/// and a stop takes at most 7.5 s.
+/// and with the default grace period a stop takes at most about 7.5 s.
 constexpr Duration kLeavingInterval = std::chrono::milliseconds(300);
 /// Number of nodes that a starting node asks for cached prompt parts; several, because any of them
 /// may be starting too.
@@ -21,7 +21,7 @@
 /// restart almost simultaneously, and would otherwise send each other all their reports repeatedly.
 constexpr Duration kMinHorizonGain = std::chrono::seconds(1);
 
-/// Handlers are set after construction; messages that arrive earlier are dropped.
+/// Drops messages that arrive before their handler is set, which is after construction.
 template <class Message>
 void call_if_set(const std::function<void(const Message&)>& handler, const Message& message) {
   if (handler) {
@@ -43,7 +43,7 @@
           deps.timers, {.node = deps.nodes.self().node, .incarnation = deps.random.next()},
           [this](const gateway::BackendId& engine) { return deps_.loads.own(engine); },
           [this](const peer_load::WorkReport& report) { channel_.broadcast_work(report); }),
-      relay_(
+      relay_announcer_(
           deps.timers,
           {.node = deps.nodes.self().node,
            .incarnation = deps.random.next(),
@@ -91,7 +91,8 @@
   return {
       .work = [this](const peer_load::WorkReport& report) { receive_work(report); },
       .relayed_work = [this](const peer_load::WorkReport& sums) { receive_relayed_work(sums); },
-      .work_to_relay = [this](const peer_load::WorkReport& report) { relay_.note_report(report); },
+      .work_to_relay =
+          [this](const peer_load::WorkReport& report) { relay_announcer_.note_report(report); },
       .update =
           [this](const discovery::ViewUpdate& update, std::function<void()> covered) {
             deps_.watcher.receive_update(update, std::move(covered));
@@ -103,7 +104,7 @@
       .history =
           [this](const discovery::HistoryReport& report) { deps_.watcher.receive_history(report); },
       .parts_request =
-          [this](const peer_load::PartsRequest& request) { send_cached_parts(request); },
+          [this](const peer_load::PartsRequest& request) { send_initial_state(request); },
       .offer = [this](const ViewOffer& offer) { on_offer_(offer.view_address); },
       .usage = [this](const usage::UsageReport& report) { call_if_set(usage_, report); },
       .crashes =
@@ -114,7 +115,8 @@
           [this](const quarantine::CrashReportBatch& batch) {
             call_if_set(crashes_.receive_for_relay, batch);
           },
-      .horizon_request = [this](const quarantine::HorizonRequest& request) { answer(request); },
+      .horizon_request =
+          [this](const quarantine::HorizonRequest& request) { answer_horizon_request(request); },
       .horizon_report =
           [this](const quarantine::HorizonReport& report) {
             call_if_set(crashes_.receive_horizon, report);
@@ -190,7 +192,7 @@
   return total;
 }
 
-void PeerExchange::send_cached_parts(const peer_load::PartsRequest& request) {
+void PeerExchange::send_initial_state(const peer_load::PartsRequest& request) {
   announcer_.send_cached_parts(
       deps_.loads, deps_.clock.now(),
       [&](const peer_load::WorkReport& report) { channel_.send(request.reply_to, report); });
@@ -219,7 +221,7 @@
   }
 }
 
-void PeerExchange::answer(const quarantine::HorizonRequest& request) {
+void PeerExchange::answer_horizon_request(const quarantine::HorizonRequest& request) {
   if (crashes_.horizon && crashes_.horizon().age - kMinHorizonGain > request.age) {
     send_all_crashes(request.reply_to);
   }
--- a/src/gateway_node/peer_exchange.h
+++ b/src/gateway_node/peer_exchange.h
@@ -62,11 +62,12 @@
   /// Drops the reported work at a back end that was removed from the fleet view.
   void forget(const gateway::BackendId& backend) { peer_work_.forget(backend); }
   void add_metrics(metrics::SampleSink& sink) const;
-  /// Announces that this node accepts no more requests, periodically until the process ends: a
-  /// datagram may be lost, and a node that starts meanwhile may find the registration in a store
-  /// that has been unreachable. `registered` is called each time and returns the revision of the
-  /// newest registration that this node knows to be its own: a write may take effect late, and
-  /// other nodes attribute a registration newer than the announced one to a process started since.
+  /// Announces that this node is stopping and must not be chosen for new requests, although it
+  /// still serves those that arrive. Repeats this periodically until the process ends: a datagram
+  /// may be lost, and a node that starts meanwhile may find the registration in a store that has
+  /// been unreachable. `registered` is called each time and returns the revision of the newest
+  /// registration that this node knows to be its own: a write may take effect late, and other nodes
+  /// attribute a registration newer than the announced one to a process started since.
   void announce_leaving(std::function<shared_store::StoreRevision()> registered);
   void announce_leaving(shared_store::StoreRevision registered) {
     announce_leaving([registered] { return registered; });
@@ -145,12 +146,12 @@
   bool is_engine(const gateway::BackendId& id) const;
   void receive_work(const peer_load::WorkReport& report);
   void receive_relayed_work(const peer_load::WorkReport& sums);
-  /// Applies the contents of a report other than work: ended attempts, unresponsive back ends and
-  /// prefilled prompt parts.
+  /// Applies what a report says besides the work in progress: ended attempts, unresponsive back
+  /// ends and prefilled prompt parts.
   void apply_observations(const peer_load::WorkReport& report, MonotonicTime now);
-  void send_cached_parts(const peer_load::PartsRequest& request);
+  void send_initial_state(const peer_load::PartsRequest& request);
   void send_all_crashes(const Endpoint& to);
-  void answer(const quarantine::HorizonRequest& request);
+  void answer_horizon_request(const quarantine::HorizonRequest& request);
   void offer_view();
   /// Returns the work of this node and of all nodes that report to it directly.
   gateway::EngineWorkload total_work(const gateway::BackendId& engine) const;
@@ -166,7 +167,7 @@
   PeerChannel channel_;
   peer_load::PeerWork peer_work_;
   peer_load::WorkAnnouncer announcer_;
-  peer_load::WorkAnnouncer relay_;  ///< Sums the reports that this node relays.
+  peer_load::WorkAnnouncer relay_announcer_;  ///< Sums the reports that this node relays.
   Timer offer_timer_;
   Timer leaving_timer_;
 };
--- a/src/gateway_node/tests/backoff_checker.h
+++ b/src/gateway_node/tests/backoff_checker.h
@@ -1,5 +1,5 @@
 // Counts requests that back ends receive from a node after they asked it to back off or told it
-// that they leave, by the operators' rules.
+// that they leave.
 #pragma once
 
 #include <algorithm>
@@ -12,7 +12,8 @@
 
 namespace ochrespring::gateway_node::testing {
 
-/// Requests up to this long after the answer may have been sent before the node knew.
+/// Requests that arrive within this time after the answer are not counted: the node may have sent
+/// them before it received the answer.
 constexpr Duration kBackoffNoticeDelay = 500ms;
 /// Requests that a back end may still receive within one backoff period.
 constexpr std::size_t kBackoffAllowance = 2;
@@ -25,7 +26,8 @@
   std::size_t max_requests = 0;  ///< Most requests received during one of them.
 };
 
-/// Requests do not count if the node restarted, was suspended or was cut off meanwhile.
+/// Requests do not count if the node has restarted or woken since the answer, or if it has a fault
+/// or had one within `kSettlingTime`.
 inline BackoffCount count_backoffs(const CrashFleet& fleet) {
   BackoffCount count;
   for (const CrashFleet::SentNotice& notice : fleet.sent_backoffs) {
--- a/src/gateway_node/tests/rate_limit_checker.h
+++ b/src/gateway_node/tests/rate_limit_checker.h
@@ -1,5 +1,5 @@
-// Compares the requests that a back end receives with the rate limit it announces, by the
-// operators' rules: a fault of a node excuses what that node sends.
+// Compares the requests that a back end receives with the rate limit it announces. Requests that a
+// node sends during a fault of its own or within `kSettlingTime` after it are not counted.
 #pragma once
 
 #include <algorithm>
@@ -29,14 +29,16 @@
   bool within_limit() const { return static_cast<double>(max_requests) <= allowed; }
 };
 
+/// At most `kLimitFactor` times the limit plus `kExtraRequests` requests may arrive in any window.
 constexpr Duration kLimitWindow = 4s;
 constexpr double kLimitFactor = 1.5;
-constexpr double kLimitAllowance = 5;
+constexpr double kExtraRequests = 5;
 /// A node must obey the limit from this long after the first answer that announced it.
 constexpr Duration kLimitNoticeDelay = 500ms;
 
-inline LimitCount count_limit(const CrashFleet& fleet, const AnnouncedLimit& limit) {
-  const MonotonicTime bound_from = limit.from + CrashFleet::kSettlingTime;
+inline LimitCount count_requests_against_limit(const CrashFleet& fleet,
+                                               const AnnouncedLimit& limit) {
+  const MonotonicTime settled_at = limit.from + CrashFleet::kSettlingTime;
   std::vector<MonotonicTime> counted;
   LimitCount result;
   std::size_t all = 0;
@@ -44,7 +46,7 @@
     if (arrival.server != limit.server || arrival.at < limit.from || arrival.at > limit.until) {
       continue;
     }
-    all += arrival.at >= bound_from ? 1 : 0;
+    all += arrival.at >= settled_at ? 1 : 0;
     const auto first_sent = fleet.first_rate_limit_at.find({arrival.node, arrival.server});
     if (arrival.connected && first_sent != fleet.first_rate_limit_at.end() &&
         arrival.at >= first_sent->second + kLimitNoticeDelay) {
@@ -56,12 +58,12 @@
     while (counted[last] - counted[first] > kLimitWindow) {
       ++first;
     }
-    if (counted[last] >= bound_from) {
+    if (counted[last] >= settled_at) {
       result.max_requests = std::max(result.max_requests, last - first + 1);
     }
   }
-  result.allowed = kLimitFactor * limit.per_second * to_seconds(kLimitWindow) + kLimitAllowance;
-  result.rate = static_cast<double>(all) / to_seconds(limit.until - bound_from);
+  result.allowed = kLimitFactor * limit.per_second * to_seconds(kLimitWindow) + kExtraRequests;
+  result.rate = static_cast<double>(all) / to_seconds(limit.until - settled_at);
   return result;
 }
 
