--- a/src/gateway_node/gateway_node.cc
+++ b/src/gateway_node/gateway_node.cc
@@ -156,10 +156,11 @@
       caller_server_(loop, server_at(settings_.listen)),
       ready_server_(loop, server_at(settings_.ready_listen)),
       directory_server_(loop, server_at(settings_.directory_listen)),
-      stop_sequence_(loop, {[this] { leave(); }, [this] { caller_server_.stop_accepting(); },
-                            [this] { finish(); }, [this] { return caller_server_.held(); },
-                            [this] { gateway_.set_shutdown_time(shutdown_time_); },
-                            [this] { end_requests(); }}) {}
+      stop_sequence_(
+          loop,
+          {[this] { leave(); }, [this] { caller_server_.stop_accepting(); }, [this] { finish(); },
+           [this] { return caller_server_.requests_in_progress(); },
+           [this] { gateway_.set_shutdown_time(shutdown_time_); }, [this] { end_requests(); }}) {}
 
 Result<void, http::HttpError> GatewayNode::start() {
   caller_server_.route(
@@ -313,7 +314,7 @@
 /// requests that are partly received and those whose answer is partly sent.
 std::vector<logging::Field> GatewayNode::request_count_fields() const {
   const gateway::HeldRequests requests = gateway_.held();
-  return {{"held", static_cast<std::uint64_t>(caller_server_.held())},
+  return {{"held", static_cast<std::uint64_t>(caller_server_.requests_in_progress())},
           {"at_configuration", static_cast<std::uint64_t>(requests.awaiting_configuration)},
           {"at_back_ends", static_cast<std::uint64_t>(requests.awaiting_backend)},
           {"queued", static_cast<std::uint64_t>(requests.queued)}};
--- a/src/gateway_node/node_duties.cc
+++ b/src/gateway_node/node_duties.cc
@@ -22,7 +22,7 @@
               .history_key = options.key_prefix + "history",
               .offset_key = options.key_prefix + "fence-offset",
               .node = options.node,
-              .life = deps.random.next(),
+              .incarnation = deps.random.next(),
               .time_to_live = options.lease},
              {.to_claim = [this, first = peers.eligibility.to_claim] { return may_claim(first); },
               .to_hold = peers.eligibility.to_hold}) {
@@ -30,7 +30,7 @@
     wall_clock_.emplace(deps.clock, deps.timers);
     meter_.emplace(*wall_clock_, deps.timers,
                    usage::UsageMeterOptions{.node = options.node,
-                                            .life = deps.random.next(),
+                                            .incarnation = deps.random.next(),
                                             .windows = options.usage_windows,
                                             .retention = options.usage_due},
                    [this, send_usage = peers.send_usage](const usage::UsageReport& report) {
