--- a/src/gateway/stream_backup.cc
+++ b/src/gateway/stream_backup.cc
@@ -53,7 +53,7 @@
 }
 
 const Backend* BackupChooser::choose(const Query& query, MonotonicTime now) const {
-  const BackendGroup* group = fleet_.index().find(query.runner->service, /*readers=*/false);
+  const BackendGroup* group = fleet_.index().find(query.runner->service, /*prefill=*/false);
   if (group == nullptr) {
     return nullptr;
   }
